--- a/dispatch/units.go
+++ b/dispatch/units.go
@@ -221,10 +221,10 @@
 		c.complete(u)
 		return
 	}
-	if end.Reason != workload.EndFailed || end.Run <= u.state.Settled {
+	if end.Reason != workload.EndFailed || end.Run <= u.state.LastCountedRun {
 		return
 	}
-	u.state.Settled = end.Run
+	u.state.LastCountedRun = end.Run
 	u.state.Failures++
 	if u.state.Failures >= j.queue.MaxAttempts && !u.step.spec.LongRunning {
 		c.event(Event{Name: "job failed", Job: j.spec.ID, Detail: end.Task.String()})
--- a/workload/cluster.go
+++ b/workload/cluster.go
@@ -7,20 +7,20 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// Queue is where callers hand in jobs.
+// Queue is a queue to which callers submit jobs.
 type Queue struct {
 	Name       string
 	Host       string
 	PathPrefix string
-	// Service names the workers that run the queue's tasks.
+	// Service is the service of the workers that run the queue's tasks.
 	Service string
 	// Public queues need no key.
 	Public bool
-	// Priority 0 is the highest; it may take capacity from the others.
+	// Priority 0 is the highest; its jobs may preempt those of other priorities.
 	Priority int
-	// MaxAttempts is how many runs of one task may fail.
+	// MaxAttempts is the number of failed runs of one task after which its job fails.
 	MaxAttempts int
-	// SlackFactor times the job's longest chain of work, plus Target, is the time in which callers want it done.
+	// SlackFactor times the job's critical path, plus Target, is the time within which callers want the job done.
 	SlackFactor float64
 	Target      time.Duration
 }
@@ -28,11 +28,11 @@
 // Account is a client account.
 type Account struct {
 	Name string
-	// GuaranteedAccelerators belong to the account's jobs of priority 0 at all times.
+	// GuaranteedAccelerators is the number of accelerators that the account's jobs of priority 0 can use at any time.
 	GuaranteedAccelerators int
 }
 
-// RequestLimits bound a caller's request.
+// RequestLimits are the limits on a caller's HTTP request.
 type RequestLimits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -45,33 +45,33 @@
 	Version  int64
 	Queues   []Queue
 	Accounts []Account
-	// KeyAccounts maps each key to the name of its account.
+	// KeyAccounts maps each API key to the name of its account.
 	KeyAccounts map[string]string
 	Limits      RequestLimits
 
-	byName map[string]*Queue
-	byHost map[string][]*Queue
+	queueByName  map[string]*Queue
+	queuesByHost map[string][]*Queue
 }
 
-// Index builds the lookup tables; it must be called once before the configuration is shared.
+// Index builds the lookup tables. It must be called once, before the configuration is used or shared.
 func (c *Config) Index() {
-	c.byName = make(map[string]*Queue, len(c.Queues))
-	c.byHost = make(map[string][]*Queue)
+	c.queueByName = make(map[string]*Queue, len(c.Queues))
+	c.queuesByHost = make(map[string][]*Queue)
 	for i := range c.Queues {
 		q := &c.Queues[i]
-		c.byName[q.Name] = q
+		c.queueByName[q.Name] = q
 		host := strings.ToLower(q.Host)
-		c.byHost[host] = append(c.byHost[host], q)
+		c.queuesByHost[host] = append(c.queuesByHost[host], q)
 	}
 }
 
-// Queue returns the queue of that name, nil if there is none.
-func (c *Config) Queue(name string) *Queue { return c.byName[name] }
+// Queue returns the queue of that name; nil if there is none.
+func (c *Config) Queue(name string) *Queue { return c.queueByName[name] }
 
-// Match returns the queue with the longest path prefix that path begins with on host, nil if there is none.
+// Match returns the queue of the host with the longest path prefix that matches path; nil if there is none.
 func (c *Config) Match(host, path string) *Queue {
 	var best *Queue
-	for _, q := range c.byHost[strings.ToLower(host)] {
+	for _, q := range c.queuesByHost[strings.ToLower(host)] {
 		if !strings.HasPrefix(path, q.PathPrefix) {
 			continue
 		}
@@ -82,19 +82,19 @@
 	return best
 }
 
-// WorkerInfo is what a worker says of itself.
+// WorkerInfo describes a worker, as registered by the worker itself.
 type WorkerInfo struct {
 	ID      string
 	Address string
 	Service string
-	// FailureDomain is where the worker stands.
+	// FailureDomain is the failure domain of the worker's VM.
 	FailureDomain string
 	Rack          string
 	Labels        []string
 	Capacity      resource.Resources
-	// Draining workers finish what runs and leave.
+	// Draining workers finish their runs, get no new ones and then leave.
 	Draining bool
-	// RemainingLife is the least time that a draining worker still has; 0 if it has not said.
+	// RemainingLife is the least time until a draining worker leaves; 0 if unknown.
 	RemainingLife time.Duration
 	// Incarnation is the start time of the worker's process in Unix milliseconds.
 	Incarnation int64
@@ -110,49 +110,49 @@
 	return false
 }
 
-// EndReason says how a run ended.
+// EndReason is the way in which a run ended.
 type EndReason string
 
-// The ways in which a run ends.
+// The reasons for the end of a run.
 const (
 	EndDone    EndReason = "done"
 	EndFailed  EndReason = "failed"
 	EndStopped EndReason = "stopped"
-	// EndLapsed: the lease of the worker's runs expired.
+	// EndLapsed means that the lease of the worker's runs expired.
 	EndLapsed EndReason = "lapsed"
-	// EndBroken: another member of the gang ended.
+	// EndBroken means that another member of the gang ended before the gang was done.
 	EndBroken EndReason = "broken"
-	// EndAlone: the other members of the gang did not arrive in time.
+	// EndAlone means that the other members of the gang did not start in time.
 	EndAlone EndReason = "alone"
 )
 
-// RunRef names one run of a task.
+// RunRef identifies one run of a task.
 type RunRef struct {
 	Task TaskID
 	Run  int64
 }
 
-// RunningRun is a run that a worker lists as present.
+// RunningRun is a run that a worker lists as running.
 type RunningRun struct {
 	RunRef
 	Checkpoint string
-	// Percent is the progress, 0 to 100.
+	// Percent is the progress of the run, 0 to 100.
 	Percent int
 }
 
 // EndedRun is a run that a worker lists as ended.
 type EndedRun struct {
 	RunRef
-	// Sequence numbers the ends of one incarnation, from 1.
+	// Sequence numbers the ended runs of one incarnation, starting at 1.
 	Sequence   int64
 	Reason     EndReason
 	Checkpoint string
 }
 
-// Listing is a worker's own account of its runs.
+// Listing is a worker's report of its running runs and of those that have ended.
 type Listing struct {
 	Incarnation int64
-	// ClockMS is the worker's steady clock in milliseconds.
+	// ClockMS is the worker's monotonic clock in milliseconds.
 	ClockMS int64
 	Running []RunningRun
 	Ended   []EndedRun
--- a/workload/job.go
+++ b/workload/job.go
@@ -1,5 +1,5 @@
-// Package workload holds the jobs that callers submit on queues, the state of their tasks, and the workers and
-// configuration that decide where tasks run.
+// Package workload defines the jobs that callers submit to queues, the durable state of their tasks, and the workers and
+// configuration on which scheduling depends.
 package workload
 
 import (
@@ -18,70 +18,70 @@
 	maxRepetitions        = 10_000
 )
 
-// JobID is chosen by the caller and names the job for good.
+// JobID identifies a job. The caller chooses it, and it is never used for another job.
 type JobID string
 
-// Step is a set of equal tasks.
+// Step is a set of identical tasks.
 type Step struct {
 	Tasks  int
 	Demand resource.Resources
-	// Estimate is the caller's rough guess of a task's run time.
+	// Estimate is the caller's rough estimate of a task's run time.
 	Estimate time.Duration
-	// After lists earlier steps that must be complete first.
+	// After lists the indexes of earlier steps that must be complete before this one starts.
 	After []int
 	// Checkpointing tasks can resume from a saved checkpoint.
 	Checkpointing bool
-	// Gang tasks run together or not at all.
+	// Gang tasks run all at the same time or not at all.
 	Gang bool
-	// SameRack tasks are slower on more than one rack.
+	// SameRack tasks run slower if they are spread over several racks.
 	SameRack bool
-	// RequiredLabel is a label that the worker must carry; empty for any.
+	// RequiredLabel is a label that the worker must have; empty for any worker.
 	RequiredLabel string
-	// DataRack is the rack that holds the input; tasks are slower elsewhere. Empty for none.
+	// DataRack is the rack that holds the input data; tasks are slower in other racks. Empty for none.
 	DataRack string
-	// MaxPerWorker bounds the tasks of one repetition of the step on one worker; 0 for no bound.
+	// MaxPerWorker is the largest number of tasks of one repetition of the step on one worker; 0 for no limit.
 	MaxPerWorker int
 	// Speculative tasks may run as parallel copies.
 	Speculative bool
 	// LongRunning tasks run until the job is cancelled.
 	LongRunning bool
-	// Image names what the tasks run.
+	// Image is the name of the image that the tasks run.
 	Image string
-	// LatencyTarget bounds the tail latency of a long-running task; 0 for none.
+	// LatencyTarget is the upper limit for the tail latency of a long-running task; 0 for none.
 	LatencyTarget time.Duration
-	// Filler tasks use the processors that other tasks leave idle.
+	// Filler tasks use only processor time that other tasks leave idle.
 	Filler bool
-	// MaxUnavailable is how many long-running tasks may be down at once by the scheduler's own doing.
+	// MaxUnavailable is the largest number of long-running tasks that the scheduler itself may make unavailable at once.
 	MaxUnavailable int
 }
 
-// Job is a submission as its caller made it.
+// Job is a job as submitted by its caller.
 type Job struct {
 	ID    JobID
 	Queue string
 	// Service is the service of the queue when the job was accepted.
 	Service string
-	// Account is the client account whose key carried the submission; empty on a public queue.
+	// Account is the client account whose key authorised the submission; empty on a public queue.
 	Account string
-	// Specification is passed to the workers unread.
+	// Specification is passed to the workers without being interpreted.
 	Specification string
 	Steps         []Step
 	// Repetitions is how many times the steps run; 0 means once, without a due time.
 	Repetitions int
-	// FirstRun is the due time of the first repetition, Interval the time between two.
+	// FirstRun is the due time of the first repetition, Interval the time between the due times of two repetitions.
 	FirstRun time.Time
 	Interval time.Duration
-	// AcceptedAt is the wall time at which the job was handed in.
+	// AcceptedAt is the wall time at which the job was submitted.
 	AcceptedAt time.Time
 }
 
-// Runs returns how many times the steps of the job run.
+// Runs returns how many times the steps of the job run, at least 1.
 func (j *Job) Runs() int { return max(1, j.Repetitions) }
 
-// Scheduled reports whether the job has due times.
+// Scheduled reports whether the job's repetitions have due times.
 func (j *Job) Scheduled() bool { return j.Repetitions > 0 }
 
-// DueAt returns the due time of a repetition; the zero time if the job has none.
+// DueAt returns the due time of a repetition, counted from 0; the zero time if the job has none.
 func (j *Job) DueAt(repetition int) time.Time {
 	if !j.Scheduled() {
 		return time.Time{}
@@ -89,7 +89,7 @@
 	return j.FirstRun.Add(time.Duration(repetition) * j.Interval)
 }
 
-// Validate returns a BadInput error that names the first fault of the job, nil if it has none.
+// Validate returns a BadInput error that describes the first invalid value of the job; nil if the job is valid.
 func (j *Job) Validate() error {
 	if len(j.Specification) > maxSpecificationBytes {
 		return invalid("the specification has %d bytes, at most %d are allowed", len(j.Specification), maxSpecificationBytes)
@@ -114,21 +114,21 @@
 	}
 	d := s.Demand
 	if d.Accelerators < 0 || d.MilliCPU < 0 || d.MemoryMB < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 {
-		return invalid("step %d has a negative amount", index)
+		return invalid("step %d has a negative resource demand or limit", index)
 	}
-	for _, before := range s.After {
-		if before < 0 || before >= index {
-			return invalid("step %d waits for step %d, which is not an earlier one", index, before)
+	for _, predecessor := range s.After {
+		if predecessor < 0 || predecessor >= index {
+			return invalid("step %d depends on step %d, which is not an earlier step", index, predecessor)
 		}
 	}
 	return nil
 }
 
 func invalid(format string, args ...any) error {
-	return errkind.New(errkind.BadInput, "correct the submission and hand it in again", format, args...)
+	return errkind.New(errkind.BadInput, "correct the submission and submit it again", format, args...)
 }
 
-// TaskID names one task of one repetition of a step.
+// TaskID identifies one task of one repetition of a step.
 type TaskID struct {
 	Job        JobID
 	Repetition int
@@ -136,7 +136,7 @@
 	Index      int
 }
 
-// String returns the task's name in log lines.
+// String returns the task's name as used in log lines: JOB.REPETITION.STEP.INDEX.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Repetition, t.Step, t.Index)
 }
--- a/workload/state.go
+++ b/workload/state.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Phase is where a job stands.
+// Phase is the phase of a job's life cycle.
 type Phase byte
 
 // The phases of a job. The last three are final.
@@ -20,7 +20,7 @@
 
 var phaseNames = [...]string{"queued", "running", "completed", "failed", "cancelled"}
 
-// String returns the phase's name in log lines.
+// String returns the phase's name as used in log lines.
 func (p Phase) String() string {
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
@@ -31,77 +31,80 @@
 // Final reports whether the job has ended.
 func (p Phase) Final() bool { return p >= PhaseCompleted }
 
-// UnitStatus is where a unit stands.
+// UnitStatus is the status of a unit.
 type UnitStatus byte
 
 // The statuses of a unit.
 const (
 	// UnitWaiting units have no run.
 	UnitWaiting UnitStatus = iota
-	// UnitActive units have a run that was decided and whose end is not known.
+	// UnitActive units have a run whose start was decided and whose end is not known.
 	UnitActive
-	// UnitDone units have ended with success.
+	// UnitDone units have ended successfully.
 	UnitDone
 )
 
 // UnitState is the durable state of a unit, the tasks that start and end together: one task, or all tasks of a gang.
 type UnitState struct {
 	Status UnitStatus
-	// Run is the highest run number given out.
+	// Run is the highest run number that was assigned.
 	Run int64
-	// Settled is the highest run whose end is counted. A worker lists an end again until it is told that the end was
-	// noted, so the same end can be seen twice.
-	Settled int64
-	// Failures counts the runs that ended as failed.
+	// LastCountedRun is the highest run whose failure is counted in Failures. A worker lists an end again until it is
+	// acknowledged, so the same end can be seen twice.
+	LastCountedRun int64
+	// Failures is the number of runs that failed.
 	Failures int
-	// Workers is where the active run was sent, one name a member.
+	// Workers holds the ids of the workers that the active run was sent to, one per member; empty for a member that has
+	// ended.
 	Workers []string
-	// Checkpoint is the newest saved progress that is known; empty for none.
+	// Checkpoint is the latest known checkpoint; empty for none.
 	Checkpoint string
 }
 
-// StepState is the durable state of one step of one repetition. Units is nil while nothing was started.
+// StepState is the durable state of one step of one repetition. Units is nil if the step is done or nothing of it was
+// started.
 type StepState struct {
 	Done  bool
 	Units []UnitState
 }
 
-// JobState is the durable state of a job. Runs has an entry for each repetition up to the last one that was touched.
+// JobState is the durable state of a job. Runs has an entry for each repetition that has been due, with one StepState per
+// step.
 type JobState struct {
 	Phase Phase
 	Runs  [][]StepState
 }
 
-// stateFormat is the first byte of an encoded state; a reader refuses others.
+// stateFormat is the first byte of an encoded state; states with another first byte are rejected.
 const stateFormat = 1
 
-// errCorrupt marks an encoded state that cannot be read.
+// errCorrupt reports an encoded state that cannot be decoded.
 var errCorrupt = errors.New("workload: the encoded job state is corrupt")
 
-// Encode returns the durable form of the state. Its second byte is the phase, so that readers that need no more do not
-// decode the rest.
+// Encode returns the encoded state. Its second byte is the phase, so that a reader that needs only the phase can skip the
+// rest.
 func (s *JobState) Encode() []byte {
-	e := encoder{workers: map[string]uint64{}}
-	e.uint(uint64(len(s.Runs)))
+	enc := encoder{workerNumbers: map[string]uint64{}}
+	enc.uint(uint64(len(s.Runs)))
 	for _, steps := range s.Runs {
-		e.uint(uint64(len(steps)))
+		enc.uint(uint64(len(steps)))
 		for i := range steps {
-			e.step(&steps[i])
+			enc.step(&steps[i])
 		}
 	}
-	head := []byte{stateFormat, byte(s.Phase)}
-	head = binary.AppendUvarint(head, uint64(len(e.names)))
-	for _, name := range e.names {
-		head = appendString(head, name)
+	header := []byte{stateFormat, byte(s.Phase)}
+	header = binary.AppendUvarint(header, uint64(len(enc.workerNames)))
+	for _, name := range enc.workerNames {
+		header = appendString(header, name)
 	}
-	return append(head, e.body...)
+	return append(header, enc.body...)
 }
 
-// encoder collects the body and the table of worker names.
+// encoder collects the body of an encoded state and the table of worker names that the body refers to.
 type encoder struct {
-	body    []byte
-	names   []string
-	workers map[string]uint64
+	body          []byte
+	workerNames   []string
+	workerNumbers map[string]uint64
 }
 
 func (e *encoder) uint(v uint64) { e.body = binary.AppendUvarint(e.body, v) }
@@ -121,7 +124,7 @@
 func (e *encoder) unit(u *UnitState) {
 	e.body = append(e.body, byte(u.Status))
 	e.uint(uint64(u.Run))
-	e.uint(uint64(u.Settled))
+	e.uint(uint64(u.LastCountedRun))
 	e.uint(uint64(u.Failures))
 	e.uint(uint64(len(u.Workers)))
 	for _, name := range u.Workers {
@@ -130,18 +133,18 @@
 	e.body = appendString(e.body, u.Checkpoint)
 }
 
-// worker returns the place of the name in the table, counted from 1; 0 stands for no worker.
+// worker returns the number of the name in the table, starting at 1; 0 stands for no worker.
 func (e *encoder) worker(name string) uint64 {
 	if name == "" {
 		return 0
 	}
-	if place, ok := e.workers[name]; ok {
-		return place
+	if number, ok := e.workerNumbers[name]; ok {
+		return number
 	}
-	e.names = append(e.names, name)
-	place := uint64(len(e.names))
-	e.workers[name] = place
-	return place
+	e.workerNames = append(e.workerNames, name)
+	number := uint64(len(e.workerNames))
+	e.workerNumbers[name] = number
+	return number
 }
 
 func appendString(b []byte, s string) []byte {
@@ -149,7 +152,7 @@
 	return append(b, s...)
 }
 
-// DecodePhase returns the phase of an encoded state.
+// DecodePhase returns the phase of an encoded state; errCorrupt if there is none.
 func DecodePhase(b []byte) (Phase, error) {
 	if len(b) < 2 || b[0] != stateFormat || b[1] > byte(PhaseCancelled) {
 		return 0, errCorrupt
@@ -157,7 +160,7 @@
 	return Phase(b[1]), nil
 }
 
-// DecodeState reads the durable form of a state.
+// DecodeState decodes a state; it returns errCorrupt if the bytes are not a valid encoding.
 func DecodeState(b []byte) (*JobState, error) {
 	phase, err := DecodePhase(b)
 	if err != nil {
@@ -165,7 +168,7 @@
 	}
 	d := decoder{rest: b[2:]}
 	for range d.count() {
-		d.names = append(d.names, d.string())
+		d.workerNames = append(d.workerNames, d.string())
 	}
 	s := &JobState{Phase: phase}
 	for range d.count() {
@@ -178,9 +181,9 @@
 }
 
 type decoder struct {
-	rest   []byte
-	names  []string
-	failed bool
+	rest        []byte
+	workerNames []string
+	failed      bool
 }
 
 func (d *decoder) uint() uint64 {
@@ -194,7 +197,8 @@
 	return v
 }
 
-// count reads a length. Each element has at least one byte, so that a larger one is corrupt.
+// count reads a number of elements. Each element takes at least one byte, so a count beyond the remaining bytes is
+// corrupt.
 func (d *decoder) count() int {
 	n := d.uint()
 	if n > uint64(len(d.rest)) {
@@ -237,10 +241,10 @@
 
 func (d *decoder) unit() UnitState {
 	u := UnitState{
-		Status:   UnitStatus(d.uint()),
-		Run:      int64(d.uint()),
-		Settled:  int64(d.uint()),
-		Failures: int(d.uint()),
+		Status:         UnitStatus(d.uint()),
+		Run:            int64(d.uint()),
+		LastCountedRun: int64(d.uint()),
+		Failures:       int(d.uint()),
 	}
 	if u.Status > UnitDone {
 		d.failed = true
@@ -253,13 +257,13 @@
 }
 
 func (d *decoder) worker() string {
-	place := d.uint()
-	if place == 0 {
+	number := d.uint()
+	if number == 0 {
 		return ""
 	}
-	if place > uint64(len(d.names)) {
+	if number > uint64(len(d.workerNames)) {
 		d.failed = true
 		return ""
 	}
-	return d.names[place-1]
+	return d.workerNames[number-1]
 }
--- a/workload/state_test.go
+++ b/workload/state_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestStateSurvivesEncoding guards against a takeover that reads another state than the one that was stored.
-func TestStateSurvivesEncoding(t *testing.T) {
+// TestStateEncodingRoundTrips guards against a takeover that reads a different state from the one that was stored.
+func TestStateEncodingRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := drawState(t)
 		got, err := DecodeState(state.Encode())
@@ -16,7 +16,7 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(state, got) {
-			t.Fatalf("stored %+v, read %+v", state, got)
+			t.Fatalf("stored %+v, decoded %+v", state, got)
 		}
 	})
 }
@@ -40,29 +40,30 @@
 	var step StepState
 	for range rapid.IntRange(0, 4).Draw(t, "units") {
 		step.Units = append(step.Units, UnitState{
-			Status:     UnitStatus(rapid.IntRange(0, 2).Draw(t, "status")),
-			Run:        rapid.Int64Range(0, 1<<40).Draw(t, "run"),
-			Settled:    rapid.Int64Range(0, 1<<40).Draw(t, "settled"),
-			Failures:   rapid.IntRange(0, 9).Draw(t, "failures"),
-			Workers:    rapid.SliceOfN(rapid.SampledFrom([]string{"", "w1", "w2"}), 1, 3).Draw(t, "workers"),
-			Checkpoint: rapid.StringN(0, 16, -1).Draw(t, "checkpoint"),
+			Status:         UnitStatus(rapid.IntRange(0, 2).Draw(t, "status")),
+			Run:            rapid.Int64Range(0, 1<<40).Draw(t, "run"),
+			LastCountedRun: rapid.Int64Range(0, 1<<40).Draw(t, "settled"),
+			Failures:       rapid.IntRange(0, 9).Draw(t, "failures"),
+			Workers:        rapid.SliceOfN(rapid.SampledFrom([]string{"", "w1", "w2"}), 1, 3).Draw(t, "workers"),
+			Checkpoint:     rapid.StringN(0, 16, -1).Draw(t, "checkpoint"),
 		})
 	}
 	return step
 }
 
-// TestCorruptStateIsRefused guards against a record of another writer that a VM takes for a state, or crashes on.
-func TestCorruptStateIsRefused(t *testing.T) {
+// TestCorruptStateIsRejected guards against a VM that crashes on, or accepts as a state, bytes that are not an encoded
+// state, such as a record of another writer or a truncated one.
+func TestCorruptStateIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
 		if state, err := DecodeState(garbage); err == nil && state == nil {
-			t.Fatal("no state and no error")
+			t.Fatal("DecodeState returned neither a state nor an error")
 		}
 	})
-	whole := (&JobState{Runs: [][]StepState{{{Units: []UnitState{{Status: UnitActive, Run: 3, Workers: []string{"w"}}}}}}}).Encode()
-	for cut := range whole {
-		if _, err := DecodeState(whole[:cut]); err == nil {
-			t.Fatalf("a state cut to %d of %d bytes was accepted", cut, len(whole))
+	encoded := (&JobState{Runs: [][]StepState{{{Units: []UnitState{{Status: UnitActive, Run: 3, Workers: []string{"w"}}}}}}}).Encode()
+	for length := range encoded {
+		if _, err := DecodeState(encoded[:length]); err == nil {
+			t.Fatalf("a state truncated to %d of %d bytes was accepted", length, len(encoded))
 		}
 	}
 }
