--- a/resource/resource.go
+++ b/resource/resource.go
@@ -1,4 +1,4 @@
-// Package resource defines the quantities that workers offer and jobs ask for.
+// Package resource defines the resources that workers offer and jobs request.
 package resource
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// MaxMembers is the largest number of members of one gang.
+// MaxMembers is the maximum number of members of a gang.
 const MaxMembers = 64
 
 // Resources is an amount of processors, memory and accelerators on one worker.
@@ -25,7 +25,7 @@
 	return Resources{r.Accelerators + o.Accelerators, r.MilliCPU + o.MilliCPU, r.MemoryMB + o.MemoryMB}
 }
 
-// Sub returns r less o; components may become negative.
+// Sub returns r minus o; components may become negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.Accelerators - o.Accelerators, r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB}
 }
@@ -40,42 +40,42 @@
 	return r.Accelerators <= capacity.Accelerators && r.MilliCPU <= capacity.MilliCPU && r.MemoryMB <= capacity.MemoryMB
 }
 
-// IsZero reports whether r asks for nothing.
+// IsZero reports whether every component of r is zero.
 func (r Resources) IsZero() bool { return r == Resources{} }
 
-// Adjacency says how close the members of a gang must be.
+// Adjacency is how close to each other the members of a gang must be placed.
 type Adjacency string
 
-// The adjacency levels, from loosest to tightest.
+// The adjacency levels, from least to most restrictive.
 const (
-	// AdjacencyNone allows any workers of the failure domain.
+	// AdjacencyNone allows any workers of one failure domain.
 	AdjacencyNone Adjacency = "none"
-	// AdjacencyRack requires all members in one rack.
+	// AdjacencyRack requires all members to be in one rack.
 	AdjacencyRack Adjacency = "rack"
-	// AdjacencyWorker requires all members on one worker.
+	// AdjacencyWorker requires all members to be on one worker.
 	AdjacencyWorker Adjacency = "worker"
 )
 
-// Shape is what a gang needs: Members tasks of PerMember resources each, placed as Adjacency demands.
+// Shape is the resource request of a gang: Members tasks of PerMember resources each, placed according to Adjacency.
 type Shape struct {
 	Members   int       `json:"members" cbor:"members"`
 	PerMember Resources `json:"per_member" cbor:"per_member"`
 	Adjacency Adjacency `json:"adjacency" cbor:"adjacency"`
 }
 
-// Total returns the resources of all members together.
+// Total returns the sum of the resources of all members.
 func (s Shape) Total() Resources { return s.PerMember.Times(s.Members) }
 
-// Validate returns a BadInput error that names the first fault of the shape, nil if it has none.
+// Validate returns a BadInput error that describes the first invalid value of the shape; nil if the shape is valid.
 func (s Shape) Validate() error {
 	if s.Members < 1 || s.Members > MaxMembers {
-		return errkind.New(errkind.BadInput, fmt.Sprintf("ask for 1 to %d members", MaxMembers),
+		return errkind.New(errkind.BadInput, fmt.Sprintf("request 1 to %d members", MaxMembers),
 			"shape has %d members", s.Members)
 	}
 	p := s.PerMember
 	if p.Accelerators < 0 || p.MilliCPU < 0 || p.MemoryMB < 0 || p.IsZero() {
-		return errkind.New(errkind.BadInput, "ask for at least one resource per member and no negative amount",
-			"shape asks for %d accelerators, %d milli-CPU and %d MB per member", p.Accelerators, p.MilliCPU, p.MemoryMB)
+		return errkind.New(errkind.BadInput, "request at least one resource per member and no negative amount",
+			"shape requests %d accelerators, %d milli-CPU and %d MB per member", p.Accelerators, p.MilliCPU, p.MemoryMB)
 	}
 	switch s.Adjacency {
 	case AdjacencyNone, AdjacencyRack, AdjacencyWorker:
