--- a/leader/journal.go
+++ b/leader/journal.go
@@ -15,46 +15,48 @@
 )
 
 const (
-	// producerName names the writer of job states; the epoch of the newest holder shuts out the others.
+	// producerName is the producer of job states. The epoch of the newest holder of the schedule fences all earlier ones.
 	producerName = "schedule"
-	// journalTimeout bounds the attempts of an append, journalRetry is the pause before the next ones.
-	journalTimeout = time.Second
-	journalRetry   = 30 * time.Millisecond
+	// journalTimeout bounds one hedged append, journalRetryInterval is the pause before it is retried.
+	journalTimeout       = time.Second
+	journalRetryInterval = 30 * time.Millisecond
 	// maxBatchBytes bounds the states of one append.
 	maxBatchBytes = 1 << 20
-	// unnumbered is the sequence number of a holder's first attempt, which the store refuses with the number it expects. It
-	// is beyond any real number: the store takes an append under the number of a recent one for a repeat.
-	unnumbered = 1 << 40
+	// unknownSequence is the sequence number of a holder's first attempt, which the store rejects with the number that it
+	// expects. It is above any real number, because the store treats an append with the number of a recent one as a repeat.
+	unknownSequence = 1 << 40
 )
 
 // journal appends job states in order, one append at a time.
 type journal struct {
 	log   store.Log
 	epoch int64
-	// sequence is the number of the next append; unnumbered until the store has told the number that it expects. Raising the
-	// epoch leaves the previous holder's numbers in force.
+	// sequence is the number of the next append; unknownSequence until the store has returned the number that it expects.
+	// A new epoch continues the numbers of the previous holder.
 	sequence int64
-	// retry is the pause before the next attempt.
-	retry      time.Duration
-	out        zerolog.Logger
-	dependency telemetry.Dependency
-	hedge      *store.Hedge
+	// retryInterval is the pause before the next attempt.
+	retryInterval time.Duration
+	out           zerolog.Logger
+	dependency    telemetry.Dependency
+	hedge         *store.Hedge
 }
 
-// open shuts out the holders before this one.
+// open registers the epoch with the store, which fences all earlier holders. It returns store.ErrFenced if a newer epoch
+// exists, or ctx's error.
 func (j *journal) open(ctx context.Context) error {
-	j.sequence = unnumbered
+	j.sequence = unknownSequence
 	for ctx.Err() == nil {
 		_, err := j.send(ctx, nil, &store.Producer{Name: producerName, Epoch: j.epoch})
 		if err == nil || errors.Is(err, store.ErrFenced) {
 			return err
 		}
-		boottime.Sleep(ctx, j.retry)
+		boottime.Sleep(ctx, j.retryInterval)
 	}
 	return ctx.Err()
 }
 
-// write appends the records; it returns an error only if another holder has taken over or ctx has ended.
+// write appends the records. It retries until they are stored, and returns an error only if another holder has taken over
+// or ctx has ended.
 func (j *journal) write(ctx context.Context, records []store.Record) error {
 	for len(records) > 0 {
 		n := batchLength(records)
@@ -66,6 +68,7 @@
 	return nil
 }
 
+// batchLength returns how many of the first records fit into one append; at least one.
 func batchLength(records []store.Record) int {
 	size, n := 0, 0
 	for n < len(records) && (n == 0 || size+len(records[n].Value) < maxBatchBytes) {
@@ -75,9 +78,9 @@
 	return n
 }
 
-// append repeats the append under its sequence number until its outcome is known.
+// append appends the records and retries under the same sequence number until the outcome is known.
 func (j *journal) append(ctx context.Context, records []store.Record) error {
-	// uncertain reports that an attempt under the current number may have been executed without answer.
+	// uncertain is true if an attempt under the current number may have been executed although its response was lost.
 	uncertain := false
 	for ctx.Err() == nil {
 		producer := &store.Producer{Name: producerName, Epoch: j.epoch, Sequence: j.sequence}
@@ -86,33 +89,33 @@
 		uncertain = uncertain || attempts > 1
 		observe(timerAppend, boottime.Now()-startedAt)
 		j.dependency.Note(j.out, "store", store.Failure(err))
-		var wrong *store.SequenceError
+		var sequenceErr *store.SequenceError
 		switch {
 		case err == nil:
 			j.sequence++
 			return nil
 		case errors.Is(err, store.ErrFenced):
 			return err
-		case errors.As(err, &wrong) && j.sequence == unnumbered:
-			j.sequence = wrong.Expected
+		case errors.As(err, &sequenceErr) && j.sequence == unknownSequence:
+			j.sequence = sequenceErr.Expected
 			uncertain = false
 			continue
-		case errors.As(err, &wrong):
-			if !uncertain || wrong.Expected != j.sequence+1 {
+		case errors.As(err, &sequenceErr):
+			if !uncertain || sequenceErr.Expected != j.sequence+1 {
 				return err
 			}
-			// The attempt without an answer was executed.
+			// The attempt whose response was lost was executed.
 			j.sequence++
 			return nil
 		case errors.Is(err, store.ErrUnknown):
 			uncertain = true
 		}
-		boottime.Sleep(ctx, j.retry)
+		boottime.Sleep(ctx, j.retryInterval)
 	}
 	return ctx.Err()
 }
 
-// send makes the attempts of one append; their number is returned.
+// send makes one hedged append and returns the number of its attempts.
 func (j *journal) send(ctx context.Context, records []store.Record, producer *store.Producer) (attempts int, err error) {
 	return j.hedge.Append(ctx, j.log, store.States, records, producer, journalTimeout)
 }
--- a/leader/journal_test.go
+++ b/leader/journal_test.go
@@ -25,8 +25,8 @@
 	return []store.Record{{Key: key, Value: []byte(value)}}
 }
 
-// TestSecondHolderContinuesTheNumbers guards against a holder whose first appends are refused as out of sequence, and
-// that takes the refusal for a repeat: states were taken as stored that were not, and done tasks ran again.
+// TestSecondHolderContinuesTheNumbers guards against a new holder that mistakes a sequence error on its first append for a
+// repeat of a stored one: states that were not stored counted as stored, and completed tasks ran again.
 func TestSecondHolderContinuesTheNumbers(t *testing.T) {
 	log := storetest.New()
 	ctx := context.Background()
@@ -50,12 +50,12 @@
 		t.Fatalf("the store holds %q after the second holder wrote done", got)
 	}
 	if err := first.write(ctx, record("j/a", "stale")); !errors.Is(err, store.ErrFenced) {
-		t.Fatalf("the first holder's append gave %v, want fenced", err)
+		t.Fatalf("append by the first holder returned %v, want ErrFenced", err)
 	}
 }
 
-// TestFirstAppendOfTheNextHolderIsNoRepeat guards against states that are lost because the store takes the first append of
-// a holder for a repeat of one of the few appends of the holder before it, under the same number.
+// TestFirstAppendOfTheNextHolderIsNoRepeat guards against lost states: the store mistakes a holder's first append for a
+// repeat if one of the previous holder's recent appends has the same sequence number.
 func TestFirstAppendOfTheNextHolderIsNoRepeat(t *testing.T) {
 	log := storetest.New()
 	ctx := context.Background()
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestRefusedNumberIsNoLostDependency guards against log lines that report the store as lost at each takeover: the refusal
-// of a holder's first number is an answer. An append that the store does not execute is a failure.
-func TestRefusedNumberIsNoLostDependency(t *testing.T) {
+// TestSequenceErrorIsNoLostDependency guards against log lines that report the store as lost at each takeover: the
+// sequence error on a holder's first append is a response of a working store. An append that is not executed is a failure.
+func TestSequenceErrorIsNoLostDependency(t *testing.T) {
 	cases := map[string]struct {
 		fault error
 		lost  bool
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestJournalKeepsOrderUnderLostAnswers guards against a state that is lost, or overwritten by an older one, when answers
-// of the store are lost or calls are refused.
+// TestJournalKeepsOrderUnderLostAnswers guards against a state that is lost, or overwritten by an older one, when responses
+// of the store are lost or requests are refused.
 func TestJournalKeepsOrderUnderLostAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := storetest.New()
@@ -147,13 +147,13 @@
 	})
 }
 
-// stalled is a store that executes appends and answers only every second one.
-type stalled struct {
+// halfAnswering is a store that executes every append and responds only to every second one.
+type halfAnswering struct {
 	*storetest.Fake
 	calls atomic.Int64
 }
 
-func (s *stalled) Append(ctx context.Context, stream store.Stream, records []store.Record, p *store.Producer, timeout time.Duration) error {
+func (s *halfAnswering) Append(ctx context.Context, stream store.Stream, records []store.Record, p *store.Producer, timeout time.Duration) error {
 	err := s.Fake.Append(ctx, stream, records, p, timeout)
 	if s.calls.Add(1)%2 == 0 {
 		return err
@@ -165,11 +165,11 @@
 	return store.ErrUnknown
 }
 
-// TestLostAnswersHoldUpTheJournalBriefly guards against a schedule that stands still for the timeout of each lost answer,
-// and against appends that are taken for refused because an earlier attempt was executed.
+// TestLostAnswersHoldUpTheJournalBriefly guards against a schedule that stalls for the whole timeout of each lost response,
+// and against appends that count as refused because an earlier attempt was executed.
 func TestLostAnswersHoldUpTheJournalBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &stalled{Fake: storetest.New()}
+		log := &halfAnswering{Fake: storetest.New()}
 		j := newJournal(log, 1)
 		startedAt := time.Now()
 		if err := j.open(t.Context()); err != nil {
@@ -182,10 +182,10 @@
 			}
 		}
 		if got := string(log.Value(store.States, "j/a")); got != strconv.Itoa(appends-1) {
-			t.Errorf("the store holds %q", got)
+			t.Errorf("the store holds %q, want the last value appended", got)
 		}
 		if took := time.Since(startedAt); took > (appends+2)*150*time.Millisecond {
-			t.Errorf("%d appends with lost answers took %v", appends, took)
+			t.Errorf("%d appends with lost responses took %v", appends, took)
 		}
 	})
 }
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -16,31 +16,32 @@
 )
 
 const (
-	// maxLease is the longest lease that runs get. It must outlast a takeover, and ends the runs of a lost worker.
+	// maxLease is the longest lease of a run. It must outlast a takeover; a lost worker ends its runs when it expires.
 	maxLease = 6 * time.Second
 	// RenewalWithoutStore is how long leases are renewed after the store last confirmed that this VM holds the schedule.
-	// Together with the lease it outlasts an outage of the store; the next holder waits that long for workers that it
-	// cannot reach.
+	// Together with the lease it bridges an outage of the store. The next holder waits that long before it declares
+	// workers dead that it cannot reach.
 	RenewalWithoutStore = 4 * time.Second
-	// planInterval is the least time between two plans.
+	// planInterval is the minimum time between two plans.
 	planInterval = 5 * time.Millisecond
-	// planShare bounds the processor time that plans take: a plan that took a while is followed by a longer pause.
-	planShare = 4
-	// idleInterval is the longest time between two plans.
+	// planPauseFactor bounds the share of processor time spent on planning: the next plan starts no earlier than this many
+	// times the duration of the last one after its start.
+	planPauseFactor = 4
+	// idleInterval is the maximum time between two plans.
 	idleInterval = 150 * time.Millisecond
-	// workersInterval is the time between two reads of the list of workers.
+	// workersInterval is the time between two reads of the worker list.
 	workersInterval = 400 * time.Millisecond
-	// postTimeout is how long an event waits for a loop that is behind.
-	postTimeout = time.Second
-	// eventQueue bounds the events that wait for the loop.
-	eventQueue = 4096
-	// dropInterval is the time between two searches for jobs whose records may be dropped.
-	dropInterval = 10 * time.Second
-	// dropMargin is added to the time for which the state of an ended job must be readable.
-	dropMargin = 60 * time.Second
+	// enqueueTimeout is how long an event waits for space in a full event queue before it is dropped.
+	enqueueTimeout = time.Second
+	// eventQueueCapacity bounds the number of events that wait for the loop.
+	eventQueueCapacity = 4096
+	// cleanupInterval is the time between two searches for ended jobs whose records may be deleted.
+	cleanupInterval = 10 * time.Second
+	// cleanupMargin is added to the time for which the state of an ended job must be readable.
+	cleanupMargin = 60 * time.Second
 )
 
-// Options of a Leader.
+// Options configures a Leader.
 type Options struct {
 	Epoch    int64
 	Log      store.Log
@@ -48,15 +49,15 @@
 	Follower *joblog.Follower
 	View     *joblog.View
 	Workers  Workers
-	// DecodeWorker reads an entry of the list of workers.
+	// DecodeWorker decodes an entry of the worker list.
 	DecodeWorker func(id string, text []byte) (workload.WorkerInfo, error)
 	Params       dispatch.Params
 	MaxLease     time.Duration
-	// HeartbeatInterval is the time between two entries of a worker in the list.
+	// HeartbeatInterval is the time between two updates of a worker's entry in the list.
 	HeartbeatInterval time.Duration
 	// StatusRetention is how long the state of an ended job must be readable.
 	StatusRetention time.Duration
-	// ConfirmedAt returns when the store last confirmed that this VM holds the schedule, on the boot clock.
+	// ConfirmedAt returns the boot-clock time at which the store last confirmed that this VM holds the schedule.
 	ConfirmedAt func() time.Duration
 	Out         zerolog.Logger
 }
@@ -68,24 +69,24 @@
 	lease     time.Duration
 	startedAt time.Duration
 
-	events   chan func(*dispatch.Core)
-	cancel   context.CancelFunc
-	sessions sync.WaitGroup
-	ended    atomic.Bool
-
-	// The fields below belong to the loop.
-	core    *dispatch.Core
-	journal *journal
-	byID    map[string]*session
-	// journalDone is open while an append is under way.
-	journalDone chan error
-	// flight is what follows once the append under way is done.
-	flight batch
-	// starts wait for the next append.
+	events     chan func(*dispatch.Core)
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	ended      atomic.Bool
+
+	// The fields below are used only by the loop's goroutine.
+	core     *dispatch.Core
+	journal  *journal
+	sessions map[string]*session
+	// appendDone receives the result of the append in flight; nil when none is.
+	appendDone chan error
+	// inFlight holds the effects of the append in flight.
+	inFlight effects
+	// starts holds the starts to send after the next append.
 	starts []dispatch.Start
-	// listed holds the ends that the core took into account, to be noted with the next append.
-	listed   map[*session]mark
-	lastPlan time.Duration
+	// processedEnds holds the run ends that the core has processed and that the next append stores.
+	processedEnds map[*session]endMark
+	lastPlan      time.Duration
 	// planPause is the time from the start of the last plan to the earliest next one.
 	planPause time.Duration
 
@@ -93,30 +94,31 @@
 	config   *workload.Config
 }
 
-type mark struct{ incarnation, noted int64 }
+// endMark holds the sequence number up to which the run ends of one incarnation of a worker were processed.
+type endMark struct{ incarnation, processed int64 }
 
-// batch is what an append makes final.
-type batch struct {
-	starts []dispatch.Start
-	noted  map[*session]mark
+// effects holds what may be done once an append is stored: send the starts, and acknowledge the ends to the workers.
+type effects struct {
+	starts    []dispatch.Start
+	processed map[*session]endMark
 }
 
-// New returns a leader for one epoch.
+// New returns a leader for the epoch in o. Run starts it.
 func New(o Options, config *workload.Config) *Leader {
 	return &Leader{
 		Options: o, out: o.Out.With().Int64("epoch", o.Epoch).Logger(),
-		lease:  min(maxLease, o.MaxLease),
-		events: make(chan func(*dispatch.Core), eventQueue),
-		byID:   map[string]*session{},
-		listed: map[*session]mark{},
-		config: config,
+		lease:         min(maxLease, o.MaxLease),
+		events:        make(chan func(*dispatch.Core), eventQueueCapacity),
+		sessions:      map[string]*session{},
+		processedEnds: map[*session]endMark{},
+		config:        config,
 	}
 }
 
-// foreignLease bounds the leases that an earlier holder may have granted, or may still grant to workers that only it can
-// reach.
-func (l *Leader) foreignLease() time.Duration {
-	return RenewalWithoutStore + slowest(l.lease)
+// earlierLeaseBound returns the time within which all leases expire that an earlier holder has granted, or may still grant
+// to workers that only it can reach.
+func (l *Leader) earlierLeaseBound() time.Duration {
+	return RenewalWithoutStore + maxElapsed(l.lease)
 }
 
 // SetConfig passes a new version of the configuration to the core.
@@ -124,11 +126,12 @@
 	l.configMu.Lock()
 	l.config = config
 	l.configMu.Unlock()
-	l.post(func(c *dispatch.Core) { c.SetConfig(config) })
+	l.enqueue(func(c *dispatch.Core) { c.SetConfig(config) })
 }
 
-// post hands an event to the loop. It blocks while the loop is behind, and drops the event once the leader has ended.
-func (l *Leader) post(f func(*dispatch.Core)) {
+// enqueue adds an event to the loop's queue. It blocks up to enqueueTimeout while the queue is full, and drops the event
+// after that or once the leader has ended.
+func (l *Leader) enqueue(f func(*dispatch.Core)) {
 	if l.ended.Load() {
 		return
 	}
@@ -139,24 +142,24 @@
 	}
 	select {
 	case l.events <- f:
-	case <-time.After(postTimeout):
+	case <-time.After(enqueueTimeout):
 		if !l.ended.Load() {
-			l.out.Error().Msg("event of the schedule dropped: the loop does not take events")
+			l.out.Error().Msg("event dropped: the event queue of the schedule loop is full")
 		}
 	}
 }
 
-// deposed ends the leader because a newer one exists.
-func (l *Leader) deposed(by string) {
+// stepDown ends the leader because a newer holder of the schedule exists; evidence says which component showed it.
+func (l *Leader) stepDown(evidence string) {
 	if l.ended.Swap(true) {
 		return
 	}
-	l.out.Warn().Str("shown_by", by).Msg("schedule lost to a newer holder")
+	l.out.Warn().Str("shown_by", evidence).Msg("schedule lost to a newer holder")
 	l.cancel()
 }
 
-// mayRenew reports whether leases may be renewed: a holder that the store has not confirmed for long may have a
-// successor, which waits for the leases of workers that it cannot reach.
+// mayRenew reports whether leases may be renewed. A holder that the store has not confirmed for RenewalWithoutStore may
+// have a successor, which waits until the leases of workers that it cannot reach have expired.
 func (l *Leader) mayRenew() bool {
 	return boottime.Now()-l.ConfirmedAt() < RenewalWithoutStore
 }
@@ -166,9 +169,9 @@
 	ctx, l.cancel = context.WithCancel(ctx)
 	defer l.cancel()
 	l.startedAt = boottime.Now()
-	l.journal = &journal{log: l.Log, hedge: l.Hedge, epoch: l.Epoch, retry: journalRetry, out: l.out.With().Stringer("stream", store.States).Logger()}
+	l.journal = &journal{log: l.Log, hedge: l.Hedge, epoch: l.Epoch, retryInterval: journalRetryInterval, out: l.out.With().Stringer("stream", store.States).Logger()}
 	if err := l.journal.open(ctx); err != nil {
-		l.out.Warn().Err(err).Msg("schedule not taken")
+		l.out.Warn().Err(err).Msg("schedule not taken: epoch not registered with the store")
 		return
 	}
 	if err := l.Follower.Refresh(ctx, 0, l.Follower.Streams()...); err != nil {
@@ -178,23 +181,23 @@
 	defer l.Follower.Subscribe(nil)
 	l.load()
 	l.out.Info().Dur("took", boottime.Now()-l.startedAt).Int("unverified_workers", len(l.core.Unverified())).Msg("schedule taken")
-	l.sessions.Add(1)
+	l.goroutines.Add(1)
 	go func() {
-		defer l.sessions.Done()
+		defer l.goroutines.Done()
 		l.followWorkers(ctx)
 	}()
 	l.loop(ctx)
 	l.ended.Store(true)
 	l.cancel()
-	l.drain()
-	l.out.Info().Msg("schedule given up")
+	l.discardEvents()
+	l.out.Info().Msg("leader stopped")
 }
 
-// drain takes events until all sessions have ended, so that none of them blocks.
-func (l *Leader) drain() {
+// discardEvents discards events until all goroutines of the leader have ended, so that none blocks on a full queue.
+func (l *Leader) discardEvents() {
 	done := make(chan struct{})
 	go func() {
-		l.sessions.Wait()
+		l.goroutines.Wait()
 		close(done)
 	}()
 	for {
@@ -206,7 +209,7 @@
 	}
 }
 
-// load builds the core from what is stored. No earlier holder can change it any more.
+// load builds the core from the stored jobs. Earlier holders are fenced and can no longer change the states.
 func (l *Leader) load() {
 	l.core = dispatch.New(l.Params)
 	l.core.Advance(boottime.Now(), time.Now())
@@ -216,7 +219,7 @@
 	l.View.Each(func(e joblog.Entry) { l.admit(e) })
 }
 
-// admit passes a job's submission or cancellation to the core.
+// admit adds a job to the core unless the core knows it, and passes on its cancellation.
 func (l *Leader) admit(e joblog.Entry) {
 	id := e.Job.ID
 	if !l.core.Knows(id) {
@@ -238,15 +241,15 @@
 	}
 	state, err := workload.DecodeState(e.State)
 	if err != nil {
-		l.out.Error().Err(err).Str("job", string(e.Job.ID)).Msg("job state cannot be read; the job starts anew")
+		l.out.Error().Err(err).Str("job", string(e.Job.ID)).Msg("stored job state cannot be decoded; the job starts over")
 		return nil
 	}
 	return state
 }
 
-// jobsChanged is called by the follower.
+// jobsChanged passes the changed jobs to the core. The follower calls it after each read with records.
 func (l *Leader) jobsChanged(ids []workload.JobID) {
-	l.post(func(c *dispatch.Core) {
+	l.enqueue(func(c *dispatch.Core) {
 		for _, id := range ids {
 			if e, ok := l.View.Get(id); ok {
 				l.admit(e)
@@ -255,54 +258,56 @@
 	})
 }
 
-// loop takes events, plans, stores and sends until ctx ends.
+// loop applies events, plans, stores changed states and sends requests to workers until ctx ends.
 func (l *Leader) loop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	lastDrop := boottime.Now()
+	lastCleanup := boottime.Now()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case f := <-l.events:
-			l.take(f)
-		case err := <-l.journalDone:
-			l.journalEnded(ctx, err)
+			l.apply(f)
+		case err := <-l.appendDone:
+			l.appendEnded(ctx, err)
 		case <-timer.C:
 		}
-		l.takeAll()
+		l.applyPending()
 		if wait := l.planPause - (boottime.Now() - l.lastPlan); wait > 0 {
 			timer.Reset(wait)
 			continue
 		}
 		l.plan(ctx)
-		if boottime.Now()-lastDrop > dropInterval {
-			lastDrop = boottime.Now()
-			l.dropEnded(ctx)
+		if boottime.Now()-lastCleanup > cleanupInterval {
+			lastCleanup = boottime.Now()
+			l.cleanUpEndedJobs(ctx)
 		}
 		timer.Reset(l.nextPlan())
 	}
-	if l.journalDone != nil {
-		<-l.journalDone
+	if l.appendDone != nil {
+		<-l.appendDone
 	}
 }
 
-func (l *Leader) take(f func(*dispatch.Core)) {
+// apply runs an event on the core at the current time.
+func (l *Leader) apply(f func(*dispatch.Core)) {
 	l.core.Advance(boottime.Now(), time.Now())
 	f(l.core)
 }
 
-func (l *Leader) takeAll() {
+// applyPending applies the events that wait in the queue.
+func (l *Leader) applyPending() {
 	for {
 		select {
 		case f := <-l.events:
-			l.take(f)
+			l.apply(f)
 		default:
 			return
 		}
 	}
 }
 
-// nextPlan returns when to plan although nothing was reported.
+// nextPlan returns the time until the next plan if no event arrives before it.
 func (l *Leader) nextPlan() time.Duration {
 	due := l.core.NextDue()
 	if due.IsZero() {
@@ -311,7 +316,7 @@
 	return max(planInterval, min(idleInterval, time.Until(due)+planInterval))
 }
 
-// plan decides, sends the stops and begins an append unless one is under way.
+// plan runs the planner, sends the stops, and begins an append unless one is in flight.
 func (l *Leader) plan(ctx context.Context) {
 	l.lastPlan = boottime.Now()
 	l.core.Advance(l.lastPlan, time.Now())
@@ -319,83 +324,87 @@
 	observe(timerPlan, boottime.Now()-l.lastPlan)
 	l.logEvents()
 	for _, stop := range plan.Stops {
-		if s := l.byID[stop.Worker]; s != nil {
-			l.send(func() { s.stop(ctx, stop) })
+		if s := l.sessions[stop.Worker]; s != nil {
+			l.spawn(func() { s.stop(ctx, stop) })
 		}
 	}
 	l.starts = append(l.starts, plan.Starts...)
 	l.flush(ctx)
-	l.planPause = max(planInterval, planShare*(boottime.Now()-l.lastPlan))
+	l.planPause = max(planInterval, planPauseFactor*(boottime.Now()-l.lastPlan))
 }
 
-func (l *Leader) send(f func()) {
-	l.sessions.Add(1)
+// spawn runs f in a goroutine that Run waits for.
+func (l *Leader) spawn(f func()) {
+	l.goroutines.Add(1)
 	go func() {
-		defer l.sessions.Done()
+		defer l.goroutines.Done()
 		f()
 	}()
 }
 
-// flush stores what has changed. Starts are sent, and ends are noted at their workers, once the states are stored.
+// flush appends the changed job states unless an append is in flight. Starts are sent and run ends acknowledged to their
+// workers only once the states are stored.
 func (l *Leader) flush(ctx context.Context) {
-	if l.journalDone != nil {
+	if l.appendDone != nil {
 		return
 	}
-	l.flight = batch{starts: l.starts, noted: l.listed}
+	l.inFlight = effects{starts: l.starts, processed: l.processedEnds}
 	l.starts = nil
-	l.listed = map[*session]mark{}
+	l.processedEnds = map[*session]endMark{}
 	changes := l.core.TakeChanges()
 	l.logChanges(changes)
 	if len(changes) == 0 {
-		l.land(ctx)
+		l.applyEffects(ctx)
 		return
 	}
 	done := make(chan error, 1)
-	l.journalDone = done
+	l.appendDone = done
 	go func() { done <- l.journal.write(ctx, stateRecords(changes)) }()
 }
 
-func (l *Leader) journalEnded(ctx context.Context, err error) {
-	l.journalDone = nil
+func (l *Leader) appendEnded(ctx context.Context, err error) {
+	l.appendDone = nil
 	if err != nil {
-		l.out.Warn().Err(err).Msg("job states were not stored")
+		l.out.Warn().Err(err).Msg("job states not stored")
 		if ctx.Err() == nil {
-			l.deposed("store")
+			l.stepDown("store")
 		}
 		return
 	}
-	l.land(ctx)
+	l.applyEffects(ctx)
 }
 
-// land carries out what the stored states allow.
-func (l *Leader) land(ctx context.Context) {
-	for s, m := range l.flight.noted {
-		s.setNoted(m.incarnation, m.noted)
+// applyEffects acknowledges run ends and sends starts whose states are now stored. Starts that the core no longer wants
+// are skipped.
+func (l *Leader) applyEffects(ctx context.Context) {
+	for s, m := range l.inFlight.processed {
+		s.setStoredEnd(m.incarnation, m.processed)
 	}
-	for _, start := range l.flight.starts {
-		s := l.byID[start.Worker]
+	for _, start := range l.inFlight.starts {
+		s := l.sessions[start.Worker]
 		if s == nil || !l.core.WantsStart(start.Worker, start.Ref) {
 			continue
 		}
-		l.send(func() { s.start(ctx, start) })
+		l.spawn(func() { s.start(ctx, start) })
 	}
-	l.flight = batch{}
+	l.inFlight = effects{}
 }
 
-// noteListing records which ends of a worker the core has taken into account. It runs in the loop.
-func (l *Leader) noteListing(s *session, noted int64) {
-	l.listed[s] = mark{incarnation: s.currentIncarnation(), noted: noted}
+// recordProcessedEnds records up to which sequence number the core has processed the run ends of a worker. It runs in the
+// loop.
+func (l *Leader) recordProcessedEnds(s *session, processed int64) {
+	l.processedEnds[s] = endMark{incarnation: s.currentIncarnation(), processed: processed}
 }
 
-// ask returns the core's answer to a question of another goroutine, false once ctx has ended.
-func (l *Leader) ask(ctx context.Context, question func(*dispatch.Core) bool) bool {
-	answer := make(chan bool, 1)
-	l.post(func(c *dispatch.Core) { answer <- question(c) })
+// query evaluates predicate in the loop for another goroutine. It returns false once ctx has ended.
+func (l *Leader) query(ctx context.Context, predicate func(*dispatch.Core) bool) bool {
+	result := make(chan bool, 1)
+	l.enqueue(func(c *dispatch.Core) { result <- predicate(c) })
 	select {
 	case <-ctx.Done():
 		return false
-	case yes := <-answer:
-		return yes
+	case ok := <-result:
+		return ok
 	}
 }
 
@@ -414,28 +423,29 @@
 	}
 }
 
-// dropEnded removes the records of jobs whose state need not be readable any more.
-func (l *Leader) dropEnded(ctx context.Context) {
-	if l.journalDone != nil {
+// cleanUpEndedJobs deletes the records of ended jobs whose state no longer has to be readable.
+func (l *Leader) cleanUpEndedJobs(ctx context.Context) {
+	if l.appendDone != nil {
 		return
 	}
-	ended := l.core.TakeEnded(boottime.Now() - l.StatusRetention - dropMargin)
+	ended := l.core.TakeEnded(boottime.Now() - l.StatusRetention - cleanupMargin)
 	if len(ended) == 0 {
 		return
 	}
 	done := make(chan error, 1)
-	l.journalDone = done
-	go func() { done <- l.dropRecords(ctx, ended) }()
+	l.appendDone = done
+	go func() { done <- l.deleteJobRecords(ctx, ended) }()
 }
 
-// dropRecords removes the states last, so that a job of which only the submission was removed does not start anew.
-func (l *Leader) dropRecords(ctx context.Context, ids []workload.JobID) error {
+// deleteJobRecords deletes submissions and cancellations first and states last: a job whose submission is still stored but
+// whose state is gone would start over.
+func (l *Leader) deleteJobRecords(ctx context.Context, ids []workload.JobID) error {
 	states := make([]store.Record, len(ids))
 	for i, id := range ids {
 		states[i] = joblog.DropState(id)
 		err := l.Log.Append(ctx, joblog.IntakeOf(id), joblog.DropIntake(id), nil, journalTimeout)
 		if err != nil {
-			l.out.Warn().Err(err).Str("job", string(id)).Msg("records of an ended job were not removed; the next holder tries again")
+			l.out.Warn().Err(err).Str("job", string(id)).Msg("records of an ended job not deleted; the next holder of the schedule retries")
 			return nil
 		}
 	}
--- a/leader/leaseclock.go
+++ b/leader/leaseclock.go
@@ -2,60 +2,63 @@
 
 import "time"
 
-// clockDrift is how much slower than ours a worker's clock may be, as a share.
-const clockDrift = 0.02
+// maxClockDrift is the fraction by which a worker's clock may run slower than the boot clock.
+const maxClockDrift = 0.02
 
-// leaseClock bounds how long what was started on a worker can run. Times are on the boot clock, but for untilMS and
-// clockMS, which are on the worker's.
+// leaseClock computes when the lease of a worker, and with it every run started there, has expired. Times are on the boot
+// clock, except untilMS and clockMS, which are milliseconds of the worker's clock.
 type leaseClock struct {
 	lease time.Duration
-	// known reports that the worker has told its clock: clockMS at clockAt.
-	known   bool
-	clockMS int64
-	clockAt time.Duration
-	// end is when the longest lease that was sent has ended at the latest.
-	end time.Duration
-	// untilMS is the longest lease that was sent.
+	// clockKnown is true once the worker has reported its clock: clockMS at clockAt.
+	clockKnown bool
+	clockMS    int64
+	clockAt    time.Duration
+	// expiresAt is the latest time at which the longest lease sent expires.
+	expiresAt time.Duration
+	// untilMS is the expiry of the longest lease sent.
 	untilMS int64
-	// silent reports that the last call had no answer. An unanswered renewal may still have arrived, so that repeating
-	// it with a later time would put off the end for as long as the worker is silent.
-	silent bool
-	// contacted reports that the worker has answered, and thereby refuses renewals of earlier holders.
+	// unanswered is true if the last request had no response. The renewal may still have arrived, so a retry with a later
+	// expiry would postpone expiresAt for as long as the worker does not respond.
+	unanswered bool
+	// contacted is true once the worker has responded; from then on it rejects renewals of earlier holders.
 	contacted bool
 }
 
-// slowest returns the longest time that the worker's clock may need for d.
-func slowest(d time.Duration) time.Duration { return time.Duration(float64(d) / (1 - clockDrift)) }
+// maxElapsed returns the longest time in which a worker's clock may advance by d.
+func maxElapsed(d time.Duration) time.Duration {
+	return time.Duration(float64(d) / (1 - maxClockDrift))
+}
 
-// renew returns the time until which a lease sent now lasts; 0 while the worker's clock is not known.
+// renew returns the expiry of a lease sent now, in milliseconds of the worker's clock; 0 while that clock is unknown. It
+// does not extend the lease after a request without response.
 func (l *leaseClock) renew(now time.Duration) int64 {
-	if !l.known || l.silent {
+	if !l.clockKnown || l.unanswered {
 		return l.untilMS
 	}
 	length := now - l.clockAt + l.lease
-	l.end = max(l.end, l.clockAt+slowest(length))
+	l.expiresAt = max(l.expiresAt, l.clockAt+maxElapsed(length))
 	l.untilMS = max(l.untilMS, l.clockMS+length.Milliseconds())
 	return l.untilMS
 }
 
-// answered takes in the worker's clock.
-func (l *leaseClock) answered(now time.Duration, clockMS int64) {
+// recordResponse records a response that reports the worker's clock.
+func (l *leaseClock) recordResponse(now time.Duration, clockMS int64) {
 	if !l.contacted {
 		l.contacted = true
-		l.end = now + slowest(l.lease)
+		l.expiresAt = now + maxElapsed(l.lease)
 	}
 	if clockMS < l.clockMS {
-		// Another incarnation, whose clock began anew.
+		// The clock of another incarnation, which started over.
 		l.untilMS = 0
 	}
-	l.known = true
+	l.clockKnown = true
 	l.clockMS = clockMS
 	l.clockAt = now
-	l.silent = false
+	l.unanswered = false
 }
 
-// failed notes a call without an answer.
-func (l *leaseClock) failed() { l.silent = true }
+// recordNoResponse records a request without response.
+func (l *leaseClock) recordNoResponse() { l.unanswered = true }
 
-// over reports whether every lease has ended.
-func (l *leaseClock) over(now time.Duration) bool { return now > l.end }
+// allExpired reports whether every lease sent has expired.
+func (l *leaseClock) allExpired(now time.Duration) bool { return now > l.expiresAt }
--- a/leader/metrics.go
+++ b/leader/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Names of the counters and latency histograms of the holder of the schedule.
+// Names of the counters and latency timers of the holder of the schedule.
 const (
 	counterStartsAccepted = "schedule.starts.accepted"
 	counterStartsRefused  = "schedule.starts.refused"
--- a/leader/presence_test.go
+++ b/leader/presence_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestOnlyWorkersThatLeftAreDeadAtOnce guards against tasks that wait for a lease on a worker that has ended them, and
-// against tasks that run twice because a silent worker counted as one that left.
-func TestOnlyWorkersThatLeftAreDeadAtOnce(t *testing.T) {
+// TestOnlyDeregisteredWorkersAreDeadAtOnce guards against tasks that wait for the lease of a worker that has ended its runs
+// and removed its entry, and against tasks that run twice because a worker without heartbeats counts as such a worker.
+func TestOnlyDeregisteredWorkersAreDeadAtOnce(t *testing.T) {
 	heartbeat := 1500 * time.Millisecond
 	cases := []struct {
 		name         string
@@ -15,19 +15,19 @@
 		now          time.Duration
 		want         bool
 	}{
-		{"left soon after its last entry", 10 * time.Second, 10800 * time.Millisecond, 11200 * time.Millisecond, true},
-		{"removed after three silent heartbeats", 10 * time.Second, 14200 * time.Millisecond, 14600 * time.Millisecond, false},
+		{"removed soon after its last entry", 10 * time.Second, 10800 * time.Millisecond, 11200 * time.Millisecond, true},
+		{"removed after three missed heartbeats", 10 * time.Second, 14200 * time.Millisecond, 14600 * time.Millisecond, false},
 		{"entry and removal read together after a gap", 14 * time.Second, 10 * time.Second, 14 * time.Second, false},
 	}
 	for _, c := range cases {
 		p := newPresence(heartbeat)
 		p.seenAt["w"] = c.seen
 		p.readAt = c.readAt
-		if got := p.left("w", c.now); got != c.want {
-			t.Errorf("%s: left is %v", c.name, got)
+		if got := p.removedByWorker("w", c.now); got != c.want {
+			t.Errorf("%s: removedByWorker returned %v", c.name, got)
 		}
 	}
-	if p := newPresence(heartbeat); p.left("unknown", time.Second) {
-		t.Error("a worker of which no entry was read counts as one that left")
+	if p := newPresence(heartbeat); p.removedByWorker("unknown", time.Second) {
+		t.Error("a worker without an entry counts as one that removed its entry")
 	}
 }
--- a/leader/session.go
+++ b/leader/session.go
@@ -15,69 +15,73 @@
 )
 
 const (
-	// watchWait is how long a worker may wait for an end before it answers. It is also the interval of lease renewals.
+	// watchWait is how long a worker may hold a watch request open until a run ends. It is also the interval of lease
+	// renewals.
 	watchWait = 1500 * time.Millisecond
-	// watchMargin is added to the wait for the deadline of a call.
+	// watchMargin is added to the wait to give the timeout of a watch request.
 	watchMargin = 700 * time.Millisecond
-	// unnotedPause is the pause between two lists while ends cannot be stored.
-	unnotedPause = 400 * time.Millisecond
-	// watchRetry is the pause after a failed call; it grows up to maxWatchRetry.
-	watchRetry    = 100 * time.Millisecond
-	maxWatchRetry = 800 * time.Millisecond
-	// orderTimeout bounds one attempt of an order, orderRetry is the pause before the next one.
-	orderTimeout = 500 * time.Millisecond
-	orderRetry   = 50 * time.Millisecond
-	// maxStopBackOff bounds the growth of the pause between attempts of a stop.
-	maxStopBackOff = 8
-	// unhealthyAttempts is how often an order is sent to a worker that refuses all orders.
-	unhealthyAttempts = 3
-	// maxOrders is how many orders to one worker may be under way at once.
-	maxOrders = 3
+	// unstoredEndsPause is the pause between two watch requests while reported ends are not stored.
+	unstoredEndsPause = 400 * time.Millisecond
+	// watchRetryInterval is the pause after a failed watch request; it doubles with each failure up to
+	// maxWatchRetryInterval.
+	watchRetryInterval    = 100 * time.Millisecond
+	maxWatchRetryInterval = 800 * time.Millisecond
+	// requestTimeout bounds one attempt of a start or stop request, requestRetryInterval is the pause before the next one.
+	requestTimeout       = 500 * time.Millisecond
+	requestRetryInterval = 50 * time.Millisecond
+	// maxStopBackoff bounds the pause between attempts of a stop request, in multiples of requestRetryInterval.
+	maxStopBackoff = 8
+	// maxUnhealthyAttempts is how often a start request is sent to a worker that reports itself unhealthy.
+	maxUnhealthyAttempts = 3
+	// maxRequests is how many start and stop requests to one worker may be in flight at once.
+	maxRequests = 3
 )
 
-// session keeps one worker's lease, list and orders.
+// session manages one worker: it renews the lease, watches the worker's runs, and sends start and stop requests.
 type session struct {
-	id      string
-	address string
-	conn    WorkerConn
-	leader  *Leader
-	log     zerolog.Logger
-	ctx     context.Context
-	cancel  context.CancelFunc
-	slots   chan struct{}
+	id           string
+	address      string
+	conn         WorkerConn
+	leader       *Leader
+	logger       zerolog.Logger
+	ctx          context.Context
+	cancel       context.CancelFunc
+	requestSlots chan struct{}
 
 	mu    sync.Mutex
 	lease leaseClock
-	// dead reports that the core was told so since the last answer.
-	dead  bool
-	noted int64
-	// notedChanged is closed and replaced when noted rises.
-	notedChanged chan struct{}
-	incarnation  int64
+	// reportedDead is true if the worker was reported dead to the core after its last response.
+	reportedDead bool
+	// storedEnd is the sequence number up to which the ends of the current incarnation are stored.
+	storedEnd int64
+	// storedEndChanged is closed and replaced when storedEnd rises.
+	storedEndChanged chan struct{}
+	// incarnation is the worker's incarnation as of the last response.
+	incarnation int64
 }
 
 func (l *Leader) newSession(ctx context.Context, id, address string) *session {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &session{
 		id: id, address: address, leader: l, ctx: ctx, cancel: cancel,
-		conn:         l.Workers.Connect(id, address),
-		log:          l.out.With().Str("worker", id).Logger(),
-		slots:        make(chan struct{}, maxOrders),
-		lease:        leaseClock{lease: l.lease, end: l.startedAt + l.foreignLease()},
-		notedChanged: make(chan struct{}),
+		conn:             l.Workers.Connect(id, address),
+		logger:           l.out.With().Str("worker", id).Logger(),
+		requestSlots:     make(chan struct{}, maxRequests),
+		lease:            leaseClock{lease: l.lease, expiresAt: l.startedAt + l.earlierLeaseBound()},
+		storedEndChanged: make(chan struct{}),
 	}
-	l.sessions.Add(1)
+	l.goroutines.Add(1)
 	go func() {
-		defer l.sessions.Done()
+		defer l.goroutines.Done()
 		s.watch(ctx)
 	}()
 	return s
 }
 
-// watch renews the lease and reports lists until ctx ends.
+// watch renews the lease and reports the worker's listings to the core until ctx ends.
 func (s *session) watch(ctx context.Context) {
 	defer s.conn.Close()
-	pause := watchRetry
+	pause := watchRetryInterval
 	first := true
 	var dependency telemetry.Dependency
 	for ctx.Err() == nil {
@@ -86,25 +90,26 @@
 			return
 		}
 		if errors.Is(err, ErrDeposed) {
-			s.leader.deposed("worker " + s.id)
+			s.leader.stepDown("worker " + s.id)
 			return
 		}
-		dependency.Note(s.log, "worker", err)
+		dependency.Note(s.logger, "worker", err)
 		if err != nil {
-			s.failed()
+			s.recordNoResponse()
 			boottime.Sleep(ctx, pause)
-			pause = min(2*pause, maxWatchRetry)
+			pause = min(2*pause, maxWatchRetryInterval)
 			continue
 		}
 		first = false
-		pause = watchRetry
-		s.leader.post(func(c *dispatch.Core) { s.leader.noteListing(s, c.Listing(s.id, sentAt, listing)) })
-		s.awaitNoted(ctx, listing)
+		pause = watchRetryInterval
+		s.leader.enqueue(func(c *dispatch.Core) { s.leader.recordProcessedEnds(s, c.Listing(s.id, sentAt, listing)) })
+		s.awaitStoredEnds(ctx, listing)
 	}
 }
 
-// watchOnce makes one call. The first call of a session and of a connection does not wait, and tells the worker nothing
-// about ends: numbers of ends start anew in another incarnation.
+// watchOnce sends one watch request and returns the listing and the time at which the request was sent. The first request
+// of a session or connection does not wait, and acknowledges no ends: it may reach another incarnation, which numbers its
+// ends from the start.
 func (s *session) watchOnce(ctx context.Context, first bool) (*workload.Listing, time.Duration, error) {
 	watch := Watch{Fence: s.leader.Epoch, Wait: watchWait}
 	fresh := first || !s.conn.SameConnection()
@@ -112,7 +117,7 @@
 	if fresh {
 		watch.Wait = 0
 	} else {
-		watch.Noted = s.noted
+		watch.Noted = s.storedEnd
 	}
 	s.mu.Unlock()
 	if s.leader.mayRenew() {
@@ -123,39 +128,39 @@
 	if err != nil {
 		return nil, sentAt, err
 	}
-	s.answered(listing)
+	s.recordResponse(listing)
 	return listing, sentAt, nil
 }
 
-// answered takes in the worker's clock and incarnation.
-func (s *session) answered(listing *workload.Listing) {
+// recordResponse records the worker's clock and incarnation from a listing.
+func (s *session) recordResponse(listing *workload.Listing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dead = false
-	s.lease.answered(boottime.Now(), listing.ClockMS)
+	s.reportedDead = false
+	s.lease.recordResponse(boottime.Now(), listing.ClockMS)
 	if s.incarnation != listing.Incarnation {
 		s.incarnation = listing.Incarnation
-		s.noted = 0
+		s.storedEnd = 0
 	}
 }
 
-// leaseUntil returns the time of the worker's clock until which a lease sent now lasts; 0 while the clock is unknown.
+// leaseUntil returns the expiry of a lease sent now, in milliseconds of the worker's clock; 0 while that clock is unknown.
 func (s *session) leaseUntil() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lease.renew(boottime.Now())
 }
 
-// failed tells the core that the worker does not answer, and once its lease has ended, that nothing runs there.
-func (s *session) failed() {
+// recordNoResponse records a request without response: it reports the worker to the core as unreachable, and as dead once its lease has expired.
+func (s *session) recordNoResponse() {
 	s.mu.Lock()
-	s.lease.failed()
-	expired := !s.dead && s.lease.over(boottime.Now())
+	s.lease.recordNoResponse()
+	expired := !s.reportedDead && s.lease.allExpired(boottime.Now())
 	if expired {
-		s.dead = true
+		s.reportedDead = true
 	}
 	s.mu.Unlock()
-	s.leader.post(func(c *dispatch.Core) {
+	s.leader.enqueue(func(c *dispatch.Core) {
 		c.SetReachable(s.id, false)
 		if expired {
 			c.WorkerDead(s.id)
@@ -163,20 +168,21 @@
 	})
 }
 
-// awaitNoted waits until the ends of the listing are stored, since the next call would only return them again.
-func (s *session) awaitNoted(ctx context.Context, listing *workload.Listing) {
+// awaitStoredEnds waits up to unstoredEndsPause until the ends of the listing are stored: the next watch request would
+// only return them again before that.
+func (s *session) awaitStoredEnds(ctx context.Context, listing *workload.Listing) {
 	if len(listing.Ended) == 0 {
 		return
 	}
 	last := listing.Ended[len(listing.Ended)-1].Sequence
-	timer := time.NewTimer(unnotedPause)
+	timer := time.NewTimer(unstoredEndsPause)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		reached := s.noted >= last
-		changed := s.notedChanged
+		stored := s.storedEnd >= last
+		changed := s.storedEndChanged
 		s.mu.Unlock()
-		if reached {
+		if stored {
 			return
 		}
 		select {
@@ -189,16 +195,17 @@
 	}
 }
 
-// setNoted tells the worker with the next call that ends up to noted are stored.
-func (s *session) setNoted(incarnation, noted int64) {
+// setStoredEnd makes the next watch request acknowledge the ends up to storedEnd. It has no effect on another incarnation
+// of the worker.
+func (s *session) setStoredEnd(incarnation, storedEnd int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.incarnation != incarnation || noted <= s.noted {
+	if s.incarnation != incarnation || storedEnd <= s.storedEnd {
 		return
 	}
-	s.noted = noted
-	close(s.notedChanged)
-	s.notedChanged = make(chan struct{})
+	s.storedEnd = storedEnd
+	close(s.storedEndChanged)
+	s.storedEndChanged = make(chan struct{})
 }
 
 func (s *session) currentIncarnation() int64 {
@@ -207,83 +214,83 @@
 	return s.incarnation
 }
 
-// start sends a start until it is answered.
-func (s *session) start(ctx context.Context, o dispatch.Start) {
-	s.slots <- struct{}{}
-	defer func() { <-s.slots }()
+// start sends a start request until its outcome is known or the core no longer wants the run.
+func (s *session) start(ctx context.Context, planned dispatch.Start) {
+	s.requestSlots <- struct{}{}
+	defer func() { <-s.requestSlots }()
 	startedAt := boottime.Now()
 	defer func() { observe(timerStart, boottime.Now()-startedAt) }()
 	for attempt := 1; ctx.Err() == nil; attempt++ {
-		order := StartOrder{
-			Ref: o.Ref, Specification: o.Specification, Checkpoint: o.Checkpoint,
+		request := StartOrder{
+			Ref: planned.Ref, Specification: planned.Specification, Checkpoint: planned.Checkpoint,
 			LeaseUntilMS: s.leaseUntil(), Fence: s.leader.Epoch,
 		}
-		err := s.conn.Start(ctx, order, orderTimeout)
-		if s.startSettled(o, err, attempt) {
+		err := s.conn.Start(ctx, request, requestTimeout)
+		if s.reportStartOutcome(planned, err, attempt) {
 			return
 		}
-		boottime.Sleep(s.ctx, orderRetry)
+		boottime.Sleep(s.ctx, requestRetryInterval)
 		if s.ctx.Err() != nil {
-			s.leader.post(func(c *dispatch.Core) { c.AbandonStart(s.id, o.Ref, "the worker has another address") })
+			s.leader.enqueue(func(c *dispatch.Core) { c.AbandonStart(s.id, planned.Ref, "the address of the worker has changed") })
 			return
 		}
-		if !s.leader.ask(ctx, func(c *dispatch.Core) bool { return c.WantsStart(s.id, o.Ref) }) {
+		if !s.leader.query(ctx, func(c *dispatch.Core) bool { return c.WantsStart(s.id, planned.Ref) }) {
 			return
 		}
 	}
 }
 
-// startSettled reports the outcome of a start to the core; false if there is none yet.
-func (s *session) startSettled(o dispatch.Start, err error, attempt int) bool {
-	ref := o.Ref
+// reportStartOutcome reports the outcome of a start request to the core. It returns false if the request has to be retried.
+func (s *session) reportStartOutcome(planned dispatch.Start, err error, attempt int) bool {
+	ref := planned.Ref
 	switch {
 	case err == nil, errors.Is(err, ErrRunIsOver):
-		s.leader.post(func(c *dispatch.Core) { c.StartAccepted(s.id, ref) })
+		s.leader.enqueue(func(c *dispatch.Core) { c.StartAccepted(s.id, ref) })
 	case errors.Is(err, ErrDeposed):
-		s.leader.deposed("worker " + s.id)
+		s.leader.stepDown("worker " + s.id)
 	case errors.Is(err, ErrNoAnswer), errors.Is(err, ErrLate):
 		return false
-	case errors.Is(err, ErrUnhealthy) && attempt < unhealthyAttempts:
+	case errors.Is(err, ErrUnhealthy) && attempt < maxUnhealthyAttempts:
 		return false
 	case attempt > 1:
-		// An earlier attempt may have been carried out, or may be later. The worker must rule that out first.
-		s.leader.post(func(c *dispatch.Core) { c.AbandonStart(s.id, ref, err.Error()) })
+		// An earlier attempt may have been executed, or may be executed later; the worker must rule that out first.
+		s.leader.enqueue(func(c *dispatch.Core) { c.AbandonStart(s.id, ref, err.Error()) })
 	default:
-		s.leader.post(func(c *dispatch.Core) { c.StartRefused(s.id, ref, err.Error()) })
+		s.leader.enqueue(func(c *dispatch.Core) { c.StartRefused(s.id, ref, err.Error()) })
 	}
 	if err == nil {
 		count(counterStartsAccepted)
 	} else {
 		count(counterStartsRefused)
 	}
-	s.log.Info().Str("job", string(ref.Task.Job)).Str("task", ref.Task.String()).Int64("run", ref.Run).
-		Int("attempt", attempt).Bool("resumed", o.Checkpoint != "").AnErr("refusal", err).Msg("start answered")
+	s.logger.Info().Str("job", string(ref.Task.Job)).Str("task", ref.Task.String()).Int64("run", ref.Run).
+		Int("attempt", attempt).Bool("resumed", planned.Checkpoint != "").AnErr("refusal", err).Msg("start answered")
 	return true
 }
 
-// stop sends a stop until it is answered.
-func (s *session) stop(ctx context.Context, o dispatch.Stop) {
-	s.slots <- struct{}{}
-	defer func() { <-s.slots }()
+// stop sends a stop request until the worker confirms it or the core no longer wants it.
+func (s *session) stop(ctx context.Context, planned dispatch.Stop) {
+	s.requestSlots <- struct{}{}
+	defer func() { <-s.requestSlots }()
 	for attempt := 1; ctx.Err() == nil; attempt++ {
-		err := s.conn.Stop(ctx, StopOrder{Ref: o.Ref, Fence: s.leader.Epoch}, orderTimeout)
+		err := s.conn.Stop(ctx, StopOrder{Ref: planned.Ref, Fence: s.leader.Epoch}, requestTimeout)
 		if errors.Is(err, ErrDeposed) {
-			s.leader.deposed("worker " + s.id)
+			s.leader.stepDown("worker " + s.id)
 			return
 		}
 		if err == nil || errors.Is(err, ErrRunIsOver) {
 			count(counterStops)
-			s.log.Info().Str("job", string(o.Ref.Task.Job)).Str("task", o.Ref.Task.String()).Int64("run", o.Ref.Run).
-				Int("attempt", attempt).Str("reason", o.Reason).Msg("stop answered")
-			s.leader.post(func(c *dispatch.Core) { c.StopAnswered(s.id, o.Ref) })
+			s.logger.Info().Str("job", string(planned.Ref.Task.Job)).Str("task", planned.Ref.Task.String()).Int64("run", planned.Ref.Run).
+				Int("attempt", attempt).Str("reason", planned.Reason).Msg("stop answered")
+			s.leader.enqueue(func(c *dispatch.Core) { c.StopAnswered(s.id, planned.Ref) })
 			return
 		}
-		boottime.Sleep(s.ctx, orderRetry*time.Duration(min(attempt, maxStopBackOff)))
+		boottime.Sleep(s.ctx, requestRetryInterval*time.Duration(min(attempt, maxStopBackoff)))
 		if s.ctx.Err() != nil {
-			s.leader.post(func(c *dispatch.Core) { c.StopUnanswered(s.id, o.Ref) })
+			s.leader.enqueue(func(c *dispatch.Core) { c.StopUnanswered(s.id, planned.Ref) })
 			return
 		}
-		if !s.leader.ask(ctx, func(c *dispatch.Core) bool { return c.WantsStop(s.id, o.Ref) }) {
+		if !s.leader.query(ctx, func(c *dispatch.Core) bool { return c.WantsStop(s.id, planned.Ref) }) {
 			return
 		}
 	}
--- a/leader/worker.go
+++ b/leader/worker.go
@@ -1,9 +1,12 @@
-// Package leader runs the schedule on the VM that holds it: it drives the dispatch core, stores the states that the core
-// changes, and carries orders to the workers.
+// Package leader runs the schedule on the VM that holds it: it drives the dispatch core, stores the job states that the
+// core changes, and sends start and stop requests to the workers.
 //
 //   - leader.go: the loop around the core
 //   - journal.go: the appends of job states
-//   - session.go: the lease and the orders of one worker
+//   - session.go: the lease, runs and requests of one worker
+//   - leaseclock.go: when the lease of a worker expires
+//   - workers.go: the worker list
+//   - presence.go: whether a worker has removed its own entry
 package leader
 
 import (
@@ -14,38 +17,39 @@
 	"github.com/redwingthread/redwingthread/workload"
 )
 
-// How workers refuse orders.
+// Errors of requests to workers.
 var (
-	// ErrNoAnswer marks an order without an answer; it may be carried out, now or seconds later.
-	ErrNoAnswer = errors.New("leader: the worker did not answer")
-	// ErrDeposed marks an order with a fencing token below the worker's.
-	ErrDeposed = errors.New("leader: the worker obeys a newer holder of the schedule")
-	// ErrRunIsOver marks a start of a run that the worker has ended, or for which it has refused a start.
-	ErrRunIsOver = errors.New("leader: the worker has ended this run")
-	// ErrLate marks a start whose lease had expired when it arrived.
-	ErrLate = errors.New("leader: the lease in the order had expired")
-	// ErrNoRoom marks a start that did not fit.
-	ErrNoRoom = errors.New("leader: the worker has no room")
-	// ErrUnhealthy marks a worker that refuses all orders for now.
+	// ErrNoAnswer means that no usable response arrived; the request may be executed, now or seconds later.
+	ErrNoAnswer = errors.New("leader: no response from the worker")
+	// ErrDeposed means that the fencing token of the request is lower than the worker's.
+	ErrDeposed = errors.New("leader: fencing token rejected: the worker follows a newer holder of the schedule")
+	// ErrRunIsOver means that the worker has ended the run, or has refused to start it before.
+	ErrRunIsOver = errors.New("leader: the worker has already ended this run")
+	// ErrLate means that the lease in a start request had expired on arrival.
+	ErrLate = errors.New("leader: the lease in the request expired before it arrived")
+	// ErrNoRoom means that the worker has too few free resources for the run.
+	ErrNoRoom = errors.New("leader: the worker has too few free resources")
+	// ErrUnhealthy means that the worker refuses all requests for now.
 	ErrUnhealthy = errors.New("leader: the worker is not healthy")
-	// ErrOtherIncarnation marks an order for a process that is gone.
-	ErrOtherIncarnation = errors.New("leader: the worker's process is another one")
-	// ErrBadOrder marks an order that the worker does not understand.
-	ErrBadOrder = errors.New("leader: the worker rejects the order")
+	// ErrOtherIncarnation means that the request was meant for a process that is gone.
+	ErrOtherIncarnation = errors.New("leader: another process runs at the worker's address")
+	// ErrBadOrder means that the worker cannot process the request.
+	ErrBadOrder = errors.New("leader: the worker rejected the request as invalid")
 )
 
-// Watch is a request for a worker's list of runs.
+// Watch is a request for a worker's listing of runs.
 type Watch struct {
-	// LeaseUntilMS renews the lease until this time of the worker's clock; 0 renews nothing.
+	// LeaseUntilMS renews the lease until this time, in milliseconds of the worker's clock; 0 renews nothing.
 	LeaseUntilMS int64
-	Fence        int64
-	// Noted is the highest end that is stored, so that the worker may forget it.
+	// Fence is the fencing token, the epoch of the holder of the schedule.
+	Fence int64
+	// Noted is the sequence number up to which run ends are stored; the worker may discard those.
 	Noted int64
-	// Wait is how long the worker may wait for an end.
+	// Wait is how long the worker may hold the request open until a run ends.
 	Wait time.Duration
 }
 
-// StartOrder is a start as it is sent.
+// StartOrder is a request to start a run. LeaseUntilMS is in milliseconds of the worker's clock.
 type StartOrder struct {
 	Ref           workload.RunRef
 	Specification string
@@ -54,16 +58,17 @@
 	Fence         int64
 }
 
-// StopOrder is a stop as it is sent.
+// StopOrder is a request to stop a run.
 type StopOrder struct {
 	Ref   workload.RunRef
 	Fence int64
 }
 
-// WorkerConn carries the calls to one worker. Watch must not be called concurrently; orders may.
+// WorkerConn sends requests to one worker. Watch must not be called concurrently; Start and Stop may. A refusal matches one
+// of the errors above. Start and Stop return an error that matches ErrNoAnswer if no usable response arrived.
 type WorkerConn interface {
 	Watch(ctx context.Context, watch Watch, timeout time.Duration) (*workload.Listing, error)
-	// SameConnection reports whether the next Watch reaches the process that answered the last one.
+	// SameConnection reports whether the next Watch reaches the process that responded to the last one.
 	SameConnection() bool
 	Start(ctx context.Context, order StartOrder, timeout time.Duration) error
 	Stop(ctx context.Context, order StopOrder, timeout time.Duration) error
--- a/leader/workers.go
+++ b/leader/workers.go
@@ -9,7 +9,7 @@
 	"github.com/redwingthread/redwingthread/workload"
 )
 
-// workerList follows the list of workers in the store.
+// workerList follows the worker list in the store.
 type workerList struct {
 	leader   *Leader
 	cursor   store.Cursor
@@ -17,33 +17,35 @@
 	presence presence
 }
 
-// followWorkers keeps sessions and core in step with the list of workers until ctx ends.
+// followWorkers updates the sessions and the core from the worker list until ctx ends.
 func (l *Leader) followWorkers(ctx context.Context) {
 	list := workerList{leader: l, cursor: store.Cursor{Stream: store.Workers}, known: map[string]workload.WorkerInfo{}, presence: newPresence(l.HeartbeatInterval)}
 	for ctx.Err() == nil {
 		if err := list.read(ctx); err != nil {
-			l.out.Debug().Err(err).Msg("list of workers not read")
+			l.out.Debug().Err(err).Msg("worker list not read")
 		}
-		l.post(func(c *dispatch.Core) {
-			l.buryUnknown(c)
-			l.closeUnused(c)
+		l.enqueue(func(c *dispatch.Core) {
+			l.reportUnlistedDead(c)
+			l.closeUnusedSessions(c)
 		})
 		boottime.Sleep(ctx, workersInterval)
 	}
 }
 
-// buryUnknown gives up restored runs on workers that never appeared in the list, once their leases have ended.
-func (l *Leader) buryUnknown(c *dispatch.Core) {
-	if boottime.Now() < l.startedAt+l.foreignLease() {
+// reportUnlistedDead reports workers with restored runs as dead if they never appeared in the list, once the leases of
+// earlier holders have expired.
+func (l *Leader) reportUnlistedDead(c *dispatch.Core) {
+	if boottime.Now() < l.startedAt+l.earlierLeaseBound() {
 		return
 	}
 	for _, id := range c.Unverified() {
-		if l.byID[id] == nil {
+		if l.sessions[id] == nil {
 			c.WorkerDead(id)
 		}
 	}
 }
 
+// read applies the changes of the list since the last read.
 func (w *workerList) read(ctx context.Context) error {
 	update, err := w.cursor.Read(ctx, w.leader.Log, 0)
 	if err != nil {
@@ -56,7 +58,7 @@
 	now := boottime.Now()
 	for _, r := range update.Records {
 		if len(r.Value) == 0 {
-			w.drop(r.Key, w.known[r.Key].Draining && w.presence.left(r.Key, now))
+			w.remove(r.Key, w.known[r.Key].Draining && w.presence.removedByWorker(r.Key, now))
 			continue
 		}
 		w.presence.seenAt[r.Key] = now
@@ -66,7 +68,7 @@
 	return nil
 }
 
-// replace takes in the newest entry of every worker and drops the workers that have none.
+// replace applies the newest entry of every worker and removes the workers that have none.
 func (w *workerList) replace(ctx context.Context, update *store.Update) {
 	present := map[string]bool{}
 	for _, r := range update.Records {
@@ -75,17 +77,18 @@
 	}
 	for id := range w.known {
 		if !present[id] {
-			w.drop(id, false)
+			w.remove(id, false)
 		}
 	}
-	w.leader.out.Info().Int("workers", len(w.known)).Int64("offset", update.Next).Msg("list of workers read")
+	w.leader.out.Info().Int("workers", len(w.known)).Int64("offset", update.Next).Msg("worker list loaded")
 }
 
+// apply updates the worker of an entry, and removes the worker if the entry cannot be decoded.
 func (w *workerList) apply(ctx context.Context, r store.Record) {
 	info, err := w.leader.DecodeWorker(r.Key, r.Value)
 	if err != nil {
-		w.leader.out.Warn().Err(err).Str("worker", r.Key).Msg("entry of a worker cannot be used")
-		w.drop(r.Key, false)
+		w.leader.out.Warn().Err(err).Str("worker", r.Key).Msg("worker entry cannot be decoded")
+		w.remove(r.Key, false)
 		return
 	}
 	old, known := w.known[r.Key]
@@ -98,7 +101,7 @@
 			Int64("incarnation", info.Incarnation).Int64("offset", r.Offset).Msg("worker changed")
 	}
 	l := w.leader
-	l.post(func(c *dispatch.Core) {
+	l.enqueue(func(c *dispatch.Core) {
 		c.SetWorker(info)
 		l.ensureSession(ctx, info)
 	})
@@ -117,15 +120,15 @@
 		a.Draining == b.Draining && a.Incarnation == b.Incarnation && a.FailureDomain == b.FailureDomain
 }
 
-// drop takes a worker out of the list. ended reports that it has ended all runs.
-func (w *workerList) drop(id string, ended bool) {
+// remove removes a worker from the list. ended is true if the worker has ended all its runs.
+func (w *workerList) remove(id string, ended bool) {
 	if _, known := w.known[id]; !known {
 		return
 	}
 	delete(w.known, id)
 	delete(w.presence.seenAt, id)
 	w.leader.out.Info().Str("worker", id).Bool("ended", ended).Msg("worker left the list")
-	w.leader.post(func(c *dispatch.Core) {
+	w.leader.enqueue(func(c *dispatch.Core) {
 		c.DropWorker(id)
 		if ended {
 			c.WorkerDead(id)
@@ -133,24 +136,24 @@
 	})
 }
 
-// ensureSession opens a session to the worker, or a new one at its new address. It runs in the loop.
+// ensureSession opens a session to the worker, and replaces it if the address has changed. It runs in the loop.
 func (l *Leader) ensureSession(ctx context.Context, info workload.WorkerInfo) {
-	s := l.byID[info.ID]
+	s := l.sessions[info.ID]
 	if s != nil && s.address == info.Address {
 		return
 	}
 	if s != nil {
 		s.cancel()
 	}
-	l.byID[info.ID] = l.newSession(ctx, info.ID, info.Address)
+	l.sessions[info.ID] = l.newSession(ctx, info.ID, info.Address)
 }
 
-// closeUnused ends the sessions of workers that left the list and on which nothing runs. It runs in the loop.
-func (l *Leader) closeUnused(c *dispatch.Core) {
-	for id, s := range l.byID {
+// closeUnusedSessions ends the sessions of workers that are no longer listed and have no runs. It runs in the loop.
+func (l *Leader) closeUnusedSessions(c *dispatch.Core) {
+	for id, s := range l.sessions {
 		if !c.HasWorker(id) {
 			s.cancel()
-			delete(l.byID, id)
+			delete(l.sessions, id)
 		}
 	}
 }
--- a/leader/workers_test.go
+++ b/leader/workers_test.go
@@ -14,7 +14,7 @@
 	"github.com/redwingthread/redwingthread/workload"
 )
 
-// idleWorkers connects to workers that never answer.
+// idleWorkers connects to workers that never respond.
 type idleWorkers struct{}
 
 func (idleWorkers) Connect(string, string) WorkerConn { return idleConn{} }
@@ -30,7 +30,7 @@
 func (idleConn) Stop(context.Context, StopOrder, time.Duration) error   { return ErrNoAnswer }
 func (idleConn) Close()                                                 {}
 
-// newTestLeader returns a leader whose loop does not run; its log lines go to out.
+// newTestLeader returns a leader whose loop does not run and that logs to out.
 func newTestLeader(t *testing.T, log store.Log, out *bytes.Buffer) *Leader {
 	l := New(Options{
 		Epoch: 1, Log: log, Workers: idleWorkers{}, MaxLease: 10 * time.Second, HeartbeatInterval: 1500 * time.Millisecond,
@@ -49,16 +49,17 @@
 	}
 }
 
-// TestRemovalAfterATakeoverSaysNothing guards against runs that are started elsewhere while a silent worker goes on with
-// them: the age of an entry that a new holder reads first is not known, and its removal looked like the worker's own.
+// TestRemovalAfterATakeoverSaysNothing guards against runs that are started elsewhere while a worker that cannot send
+// heartbeats still runs them: the age of an entry from a new holder's first read is unknown, so its expiry looked like a
+// removal by the worker itself.
 func TestRemovalAfterATakeoverSaysNothing(t *testing.T) {
 	cases := []struct {
-		name        string
-		seenInOrder bool
-		want        string
+		name             string
+		seenWhenAppended bool
+		want             string
 	}{
-		{"entry read with the newest", false, `"ended":false`},
-		{"entry read in order", true, `"ended":true`},
+		{"entry from the initial load", false, `"ended":false`},
+		{"entry read when appended", true, `"ended":true`},
 	}
 	for _, c := range cases {
 		log := storetest.New()
@@ -66,21 +67,21 @@
 		l := newTestLeader(t, log, &out)
 		list := workerList{leader: l, cursor: store.Cursor{Stream: store.Workers}, known: map[string]workload.WorkerInfo{}, presence: newPresence(l.HeartbeatInterval)}
 		putWorker(t, log, "w", "draining")
-		readAll(t, &list)
-		readAll(t, &list)
-		if c.seenInOrder {
+		readList(t, &list)
+		readList(t, &list)
+		if c.seenWhenAppended {
 			putWorker(t, log, "w", "draining")
-			readAll(t, &list)
+			readList(t, &list)
 		}
 		putWorker(t, log, "w", "")
-		readAll(t, &list)
+		readList(t, &list)
 		if !strings.Contains(out.String(), c.want) {
-			t.Errorf("%s: want %s in %s", c.name, c.want, out.String())
+			t.Errorf("%s: want %s in log %s", c.name, c.want, out.String())
 		}
 	}
 }
 
-func readAll(t *testing.T, list *workerList) {
+func readList(t *testing.T, list *workerList) {
 	if err := list.read(t.Context()); err != nil {
 		t.Fatal(err)
 	}
