--- a/joblog/follower.go
+++ b/joblog/follower.go
@@ -12,12 +12,12 @@
 	"github.com/redwingthread/redwingthread/workload"
 )
 
-// Follower keeps a View up to date. Each stream has a reader of its own.
+// Follower keeps a View up to date with one reader for each stream.
 type Follower struct {
 	readers []*reader
 }
 
-// NewFollower returns a follower that folds into view.
+// NewFollower returns a follower that folds the records of log into view. Run starts it.
 func NewFollower(log store.Log, view *View, out zerolog.Logger) *Follower {
 	f := &Follower{}
 	streams := []store.Stream{store.States}
@@ -30,7 +30,7 @@
 	return f
 }
 
-// Streams returns all streams that the follower reads.
+// Streams returns the streams that the follower reads: the states and every part of the intake.
 func (f *Follower) Streams() []store.Stream {
 	streams := make([]store.Stream, len(f.readers))
 	for i, r := range f.readers {
@@ -39,7 +39,7 @@
 	return streams
 }
 
-// Run reads until ctx ends.
+// Run reads the streams until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	var readers sync.WaitGroup
 	for _, r := range f.readers {
@@ -48,8 +48,8 @@
 	readers.Wait()
 }
 
-// Subscribe makes the follower read the intake without pause and report the jobs of its records to subscriber; nil ends
-// that.
+// Subscribe makes the follower read the intake without pause and call subscriber with the ids of the jobs whose intake
+// records were read. A nil subscriber ends the subscription.
 func (f *Follower) Subscribe(subscriber func([]workload.JobID)) {
 	for _, r := range f.readers {
 		if r.stream.Topic != store.TopicIntake {
@@ -60,11 +60,11 @@
 			continue
 		}
 		r.subscriber.Store(&subscriber)
-		r.poke()
+		r.triggerRead()
 	}
 }
 
-// Age returns how old the view is at most; false before the first complete read of every stream.
+// Age returns the maximum age of the view; false before the first complete read of every stream.
 func (f *Follower) Age() (time.Duration, bool) {
 	oldest := boottime.Now()
 	for _, r := range f.readers {
@@ -77,7 +77,8 @@
 	return boottime.Now() - oldest, true
 }
 
-// Refresh returns once the view includes all that was stored in the streams before maxAge ago, or with ctx's error.
+// Refresh returns once the view includes all records of the streams that were stored more than maxAge ago, or with ctx's
+// error.
 func (f *Follower) Refresh(ctx context.Context, maxAge time.Duration, streams ...store.Stream) error {
 	oldest := boottime.Now() - maxAge
 	var needed []*reader
@@ -85,7 +86,7 @@
 		for _, stream := range streams {
 			if r.stream == stream && !r.includes(oldest) {
 				needed = append(needed, r)
-				r.poke()
+				r.triggerRead()
 			}
 		}
 	}
--- a/joblog/joblog_test.go
+++ b/joblog/joblog_test.go
@@ -32,8 +32,8 @@
 	return StateRecord(workload.JobID(id), (&workload.JobState{Phase: phase}).Encode())
 }
 
-// TestViewFoldsInAnyOrder guards against a job whose state depends on which of its records a VM read first: they come from
-// different streams.
+// TestViewFoldsInAnyOrder guards against a job whose state depends on the order in which a VM reads its records: they come
+// from different streams.
 func TestViewFoldsInAnyOrder(t *testing.T) {
 	records := []store.Record{submission(t, "a"), CancelRecord("a"), state("a", workload.PhaseRunning)}
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
@@ -46,32 +46,32 @@
 			t.Errorf("order %v: %+v, %v", order, e, ok)
 		}
 		if v.Waiting("q") != 0 {
-			t.Errorf("order %v: %d jobs wait", order, v.Waiting("q"))
+			t.Errorf("order %v: %d jobs wait, want 0", order, v.Waiting("q"))
 		}
 	}
 }
 
-// TestFinalStateStays guards against an ended job that an older state brings back, and against a completed job that a late
-// cancellation turns into a cancelled one.
+// TestFinalStateStays guards against an older state that revives an ended job, and against a late cancellation that turns a
+// completed job into a cancelled one.
 func TestFinalStateStays(t *testing.T) {
 	v := NewView()
 	for _, r := range []store.Record{submission(t, "a"), state("a", workload.PhaseCompleted), state("a", workload.PhaseRunning), CancelRecord("a"), submission(t, "a")} {
 		v.Apply(r)
 	}
 	if e, _ := v.Get("a"); e.Phase != workload.PhaseCompleted {
-		t.Fatalf("the job is %v", e.Phase)
+		t.Fatalf("the job is %v, want completed", e.Phase)
 	}
-	for _, r := range DropIntake("a") {
+	for _, r := range IntakeTombstones("a") {
 		v.Apply(r)
 	}
-	v.Apply(DropState("a"))
+	v.Apply(StateTombstone("a"))
 	if _, known := v.Get("a"); known {
-		t.Fatal("the dropped job is still known")
+		t.Fatal("the deleted job is still in the view")
 	}
 }
 
-// TestWaitingCounts guards against a count of waiting jobs that drifts when records repeat.
-func TestWaitingCounts(t *testing.T) {
+// TestWaitingCountIgnoresRepeats guards against a count of waiting jobs that drifts when records are repeated.
+func TestWaitingCountIgnoresRepeats(t *testing.T) {
 	v := NewView()
 	for range 2 {
 		for i := range 5 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestUnreadableRecordsAreCounted guards against records of other writers that stop the fold.
+// TestUnreadableRecordsAreCounted guards against a fold that stops at records of other writers.
 func TestUnreadableRecordsAreCounted(t *testing.T) {
 	v := NewView()
 	for _, r := range []store.Record{{}, {Key: "x"}, {Key: "s/a", Value: []byte("junk")}, {Key: "j/a", Value: []byte{9}}, {Key: "z/a", Value: []byte{1}}} {
@@ -96,11 +96,12 @@
 		t.Fatalf("%d of 5 records were unreadable", v.Unreadable())
 	}
 	if _, known := v.Get("a"); known {
-		t.Fatal("an unreadable submission names a job")
+		t.Fatal("the view has a job for an unreadable submission")
 	}
 }
 
-// TestReaderSurvivesDroppedHistory guards against a VM that loses jobs when the store drops the history it has not read.
+// TestReaderSurvivesDroppedHistory guards against a VM that misses jobs when the store drops records before the VM has read
+// them.
 func TestReaderSurvivesDroppedHistory(t *testing.T) {
 	log := storetest.New()
 	log.PageSize = 2
@@ -112,7 +113,7 @@
 	refresh(t, f)
 	for i := range 7 {
 		id := fmt.Sprint(i)
-		if err := log.Append(ctx, IntakeOf(workload.JobID(id)), []store.Record{submission(t, id)}, nil, time.Second); err != nil {
+		if err := log.Append(ctx, IntakeStream(workload.JobID(id)), []store.Record{submission(t, id)}, nil, time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -134,7 +135,7 @@
 	}
 }
 
-// TestWriterGroupsAppends guards against an append a caller, which a slow store cannot keep up with.
+// TestWriterGroupsAppends guards against one append per caller: a slow store cannot keep up with that.
 func TestWriterGroupsAppends(t *testing.T) {
 	log := storetest.New()
 	var appends atomic.Int64
@@ -158,8 +159,8 @@
 	}
 }
 
-// TestWriterTellsRefusedFromUnknown guards against a refusal of a record that may be stored: one attempt without an answer
-// makes the outcome unknown, whatever comes after it.
+// TestWriterTellsRefusedFromUnknown guards against a record that is reported as refused although it may be stored: after one
+// attempt of unknown outcome, a later refusal leaves the outcome unknown.
 func TestWriterTellsRefusedFromUnknown(t *testing.T) {
 	log := storetest.New()
 	w := NewWriter(log, &store.Hedge{})
@@ -189,8 +190,8 @@
 	}
 }
 
-// TestWriterKeepsTryingWhileTheCallerWaits guards against a job that is given up within milliseconds, with an unknown outcome,
-// because connections to the store are reset for a moment: callers cannot always hand such a job in again.
+// TestWriterKeepsTryingWhileTheCallerWaits guards against writes that fail with an unknown outcome within milliseconds when
+// connections to the store are reset briefly: callers cannot always submit such a job again.
 func TestWriterKeepsTryingWhileTheCallerWaits(t *testing.T) {
 	log := storetest.New()
 	w := NewWriter(log, &store.Hedge{})
@@ -207,6 +208,6 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
 	if err := w.Submit(ctx, job("a")); err != nil {
-		t.Errorf("3 appends without answer and 5 refused within half a second: %v", err)
+		t.Errorf("3 appends without response and 5 refusals within half a second: %v", err)
 	}
 }
--- a/joblog/reader.go
+++ b/joblog/reader.go
@@ -14,30 +14,31 @@
 )
 
 const (
-	// longPoll is how long a read waits at the store while it has a subscriber.
-	longPoll = time.Second
-	// followInterval is the time between two reads without a subscriber; callers' questions cause earlier reads.
+	// longPollWait is how long a read waits for new records while the reader has a subscriber.
+	longPollWait = time.Second
+	// followInterval is the pause between two reads without a subscriber; queries that need a newer view end it early.
 	followInterval = 1500 * time.Millisecond
 	// retryInterval is the pause after a failed read.
 	retryInterval = 100 * time.Millisecond
 )
 
-// reader folds one stream.
+// reader folds the records of one stream into a view.
 type reader struct {
 	log    store.Log
 	stream store.Stream
-	// cursor belongs to the goroutine of run.
+	// cursor is used only by the goroutine of run.
 	cursor store.Cursor
 	view   *View
 	out    zerolog.Logger
-	// wake asks for a read now.
+	// wake ends the pause before the next read.
 	wake chan struct{}
-	// subscriber gets the ids of changed jobs.
+	// subscriber is called with the ids of changed jobs.
 	subscriber atomic.Pointer[func([]workload.JobID)]
 	dependency telemetry.Dependency
 
 	mu sync.Mutex
-	// complete reports that a read has reached the end; freshAt is the start of the last such read on the boot clock.
+	// complete is true once a read has reached the end of the stream; freshAt is the start of the last such read on the
+	// boot clock.
 	complete bool
 	freshAt  time.Duration
 	// updated is closed and replaced after each read.
@@ -53,6 +54,7 @@
 	}
 }
 
+// run reads the stream until ctx ends.
 func (r *reader) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.read(ctx)
@@ -69,6 +71,7 @@
 	}
 }
 
+// sleep returns after d, or earlier when a read is triggered or ctx ends.
 func (r *reader) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -79,7 +82,8 @@
 	}
 }
 
-func (r *reader) poke() {
+// triggerRead makes the next read start without pause. It never blocks.
+func (r *reader) triggerRead() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -89,14 +93,14 @@
 func (r *reader) read(ctx context.Context) error {
 	wait := time.Duration(0)
 	if r.subscriber.Load() != nil {
-		wait = longPoll
+		wait = longPollWait
 	}
 	update, err := r.cursor.Read(ctx, r.log, wait)
 	if err != nil {
 		return err
 	}
 	if update.Expired {
-		r.out.Warn().Msg("records were dropped before they were read; the newest of each key were read")
+		r.out.Warn().Msg("records expired before they were read; the newest record of each key was loaded instead")
 	}
 	ids := r.apply(update.Records)
 	if update.Loaded {
@@ -116,7 +120,8 @@
 	return ids
 }
 
-// publish makes a read visible. complete reports that it reached the end of the stream.
+// publish wakes the waiters of await and calls the subscriber after a read. complete is true if the read reached the end of
+// the stream.
 func (r *reader) publish(startedAt time.Duration, complete bool, ids []workload.JobID) {
 	r.mu.Lock()
 	if complete {
@@ -131,19 +136,20 @@
 	}
 }
 
+// freshness returns the boot-clock time up to which the view is complete; false before the first complete read.
 func (r *reader) freshness() (freshAt time.Duration, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.freshAt, r.complete
 }
 
-// includes reports whether the view holds all records stored before the given time.
+// includes reports whether the view holds all records stored before the given boot-clock time.
 func (r *reader) includes(at time.Duration) bool {
 	freshAt, complete := r.freshness()
 	return complete && freshAt >= at
 }
 
-// await returns once the view holds all records stored before the given time.
+// await returns once the view holds all records stored before the given boot-clock time, or with ctx's error.
 func (r *reader) await(ctx context.Context, at time.Duration) error {
 	for {
 		r.mu.Lock()
@@ -152,7 +158,7 @@
 		if r.includes(at) {
 			return nil
 		}
-		r.poke()
+		r.triggerRead()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/joblog/view.go
+++ b/joblog/view.go
@@ -1,9 +1,9 @@
-// Package joblog keeps jobs in the store and every VM's view of them.
+// Package joblog stores the records of jobs and keeps a view of all jobs on every VM.
 //
-// A job has up to three records, each under a key of its own, so that a repeated append overwrites itself. The submission
-// and the cancellation are in a part of the intake topic, which any VM writes before it answers the caller; the parts
-// share the load, since a part executes one append at a time and a slow store makes each take long. The state is in the
-// states topic, which only the fenced holder of the schedule writes, so that callers' appends do not hold it up.
+// A job has up to three records, each under its own key, so that a repeated append overwrites itself. The submission and
+// the cancellation are in a part of the intake topic, which any VM writes before it responds to the caller. The parts share
+// the load: a part executes one append at a time, and each takes long on a slow store. The state is in the states topic,
+// which only the fenced holder of the schedule writes, so that callers' appends do not delay it.
 package joblog
 
 import (
@@ -16,23 +16,24 @@
 	"github.com/redwingthread/redwingthread/workload"
 )
 
-// Prefixes of the keys.
+// Prefixes of record keys. All have the same length.
 const (
 	keySubmission = "s/"
 	keyCancel     = "c/"
 	keyState      = "j/"
 )
 
-// IntakeParts is how many parts the intake has.
+// IntakeParts is the number of parts of the intake topic.
 const IntakeParts = 4
 
-// IntakeOf returns the stream of a job's submission and cancellation.
-func IntakeOf(id workload.JobID) store.Stream {
+// IntakeStream returns the stream that holds a job's submission and cancellation.
+func IntakeStream(id workload.JobID) store.Stream {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id))
 	return store.Stream{Topic: store.TopicIntake, Part: int(hash.Sum32() % IntakeParts)}
 }
 
+// encoding is deterministic CBOR with times that keep nanoseconds.
 var encoding = func() cbor.EncMode {
 	options := cbor.CoreDetEncOptions()
 	options.Time = cbor.TimeRFC3339Nano
@@ -59,36 +60,37 @@
 	return store.Record{Key: keyState + string(id), Value: state}
 }
 
-// DropIntake returns the records that remove a job from the intake.
-func DropIntake(id workload.JobID) []store.Record {
+// IntakeTombstones returns the records that delete a job's cancellation and submission.
+func IntakeTombstones(id workload.JobID) []store.Record {
 	return []store.Record{{Key: keyCancel + string(id)}, {Key: keySubmission + string(id)}}
 }
 
-// DropState returns the record that removes a job's state.
-func DropState(id workload.JobID) store.Record { return store.Record{Key: keyState + string(id)} }
+// StateTombstone returns the record that deletes a job's state.
+func StateTombstone(id workload.JobID) store.Record { return store.Record{Key: keyState + string(id)} }
 
-// Entry is what a VM knows of a job.
+// Entry is the view of one job.
 type Entry struct {
-	// Job is nil while only other records of the job were read.
+	// Job is nil until the job's submission is read.
 	Job *workload.Job
-	// Phase includes the effect of a cancellation that the holder of the schedule has not acted on yet.
+	// Phase includes the effect of a cancellation that the holder of the schedule has not processed yet.
 	Phase workload.Phase
-	// Cancelled reports that the job is to be stopped, or was.
+	// Cancelled is true if the job was cancelled, even if its runs have not stopped yet.
 	Cancelled bool
 	// State is the encoded state; nil for a job that was never started.
 	State []byte
 }
 
+// entry is the fold of the records of one job.
 type entry struct {
 	job   *workload.Job
 	phase workload.Phase
 	state []byte
-	// cancelAsked reports that a caller has cancelled the job; its end may have been stored before.
-	cancelAsked bool
+	// cancelRequested is true if a caller has cancelled the job; it has no effect on a job that had ended before.
+	cancelRequested bool
 }
 
 func (e *entry) cancelled() bool {
-	return e.phase == workload.PhaseCancelled || e.cancelAsked && !e.phase.Final()
+	return e.phase == workload.PhaseCancelled || e.cancelRequested && !e.phase.Final()
 }
 
 func (e *entry) export() Entry {
@@ -99,13 +101,13 @@
 	return out
 }
 
-// View is the fold of all records of jobs. It is safe for concurrent use.
+// View is the fold of the records of all jobs. It is safe for concurrent use.
 type View struct {
 	mu      sync.Mutex
 	entries map[workload.JobID]*entry
-	// waiting counts the accepted jobs of each queue of which nothing was started.
+	// waiting counts the accepted jobs of each queue that have not started.
 	waiting map[string]int
-	// unreadable counts records that could not be read.
+	// unreadable counts the records that could not be decoded.
 	unreadable int
 }
 
@@ -114,7 +116,8 @@
 	return &View{entries: map[workload.JobID]*entry{}, waiting: map[string]int{}}
 }
 
-// Apply folds one record and returns the id of the job that it belongs to; empty if it cannot be read.
+// Apply folds one record and returns the id of its job; empty if the key has no id. Records that cannot be decoded leave the
+// view unchanged and are counted by Unreadable.
 func (v *View) Apply(r store.Record) workload.JobID {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -131,16 +134,17 @@
 		e = &entry{}
 		v.entries[id] = e
 	}
-	v.count(e, -1)
+	v.adjustWaiting(e, -1)
 	if !v.fold(e, id, prefix, r) {
 		v.unreadable++
 	}
 	if v.entries[id] != nil {
-		v.count(e, 1)
+		v.adjustWaiting(e, 1)
 	}
 	return id
 }
 
+// fold applies a record to the entry of its job. It returns false if the record cannot be decoded.
 func (v *View) fold(e *entry, id workload.JobID, prefix string, r store.Record) bool {
 	switch prefix {
 	case keySubmission:
@@ -150,7 +154,7 @@
 		}
 		return e.foldSubmission(id, r)
 	case keyCancel:
-		e.cancelAsked = e.cancelAsked || len(r.Value) > 0
+		e.cancelRequested = e.cancelRequested || len(r.Value) > 0
 		return true
 	case keyState:
 		return len(r.Value) == 0 || e.foldState(r)
@@ -183,14 +187,14 @@
 	return true
 }
 
-// count adds the job to the number of its queue's waiting jobs.
-func (v *View) count(e *entry, sign int) {
+// adjustWaiting adds sign to the number of waiting jobs of the job's queue if the job waits.
+func (v *View) adjustWaiting(e *entry, sign int) {
 	if e.job != nil && e.phase == workload.PhaseQueued && !e.cancelled() {
 		v.waiting[e.job.Queue] += sign
 	}
 }
 
-// Get returns what is known of a job.
+// Get returns the view of a job; false if its submission was not read.
 func (v *View) Get(id workload.JobID) (Entry, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -201,14 +205,14 @@
 	return e.export(), true
 }
 
-// Waiting returns how many accepted jobs of the queue have nothing started.
+// Waiting returns how many accepted jobs of the queue have not started.
 func (v *View) Waiting(queue string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.waiting[queue]
 }
 
-// Each calls f for every job with a submission.
+// Each calls f for every job whose submission was read. f must not call methods of the view.
 func (v *View) Each(f func(Entry)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -219,7 +223,7 @@
 	}
 }
 
-// Unreadable returns how many records could not be read.
+// Unreadable returns how many records could not be decoded.
 func (v *View) Unreadable() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/joblog/writer.go
+++ b/joblog/writer.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// appendTimeout bounds the attempts of one append of callers' records.
+	// appendTimeout bounds one hedged append of callers' records.
 	appendTimeout = 1100 * time.Millisecond
-	// unknownPatience is how long after its first attempt a record whose outcome is unknown is tried again. Callers wait for 3 s;
-	// another attempt that takes appendTimeout would end after them.
-	unknownPatience = 1800 * time.Millisecond
-	// appendRetryInterval is the pause before an append is tried again.
+	// unknownRetryWindow is the time after the start of a write within which it is retried while its outcome is unknown.
+	// Callers wait for 3 s; a later attempt that takes appendTimeout would end after that.
+	unknownRetryWindow = 1800 * time.Millisecond
+	// appendRetryInterval is the pause before an append is retried.
 	appendRetryInterval = 60 * time.Millisecond
-	// refusedAttempts is how often an append that the store refuses is tried before the caller is told.
-	refusedAttempts = 4
-	// maxFlights is how many appends may be under way at once, so that one without an answer does not hold up the rest.
-	maxFlights = 3
-	// maxFlightBytes bounds the records of one append.
-	maxFlightBytes = 512 << 10
+	// maxRefusals is how often the store may refuse a write before its caller gets an error.
+	maxRefusals = 4
+	// maxInFlight is how many appends to a part may be in flight at once, so that one without a response does not delay the
+	// rest.
+	maxInFlight = 3
+	// maxAppendBytes bounds the size of the records of one append; it may be exceeded by one record.
+	maxAppendBytes = 512 << 10
 )
 
-// Writer stores callers' records.
+// Writer stores callers' submissions and cancellations. It is safe for concurrent use.
 type Writer struct {
 	parts [IntakeParts]partWriter
 }
 
-// NewWriter returns a writer to the log.
+// NewWriter returns a writer that appends to log.
 func NewWriter(log store.Log, hedge *store.Hedge) *Writer {
 	w := &Writer{}
 	for part := range w.parts {
@@ -42,8 +43,9 @@
 	return w
 }
 
-// Submit stores a submission. It returns nil once it is stored, an error that matches store.ErrNotDone if it is not
-// stored and never will be, or one that matches store.ErrUnknown if the outcome was not known when ctx ended.
+// Submit stores a submission. It returns nil once the submission is stored, an error that matches store.ErrNotDone if it is
+// not stored and never will be, or one that matches store.ErrUnknown if the outcome was still unknown when ctx ended or the
+// retries were exhausted.
 func (w *Writer) Submit(ctx context.Context, job *workload.Job) error {
 	record, err := SubmissionRecord(job)
 	if err != nil {
@@ -58,32 +60,33 @@
 }
 
 func (w *Writer) write(ctx context.Context, id workload.JobID, record store.Record) error {
-	return w.parts[IntakeOf(id).Part].write(ctx, record)
+	return w.parts[IntakeStream(id).Part].write(ctx, record)
 }
 
-// partWriter writes to one part. Records that arrive while an append is under way go together in the next one.
+// partWriter writes to one part. Records that arrive while appends are in flight are batched in the next one.
 type partWriter struct {
 	log    store.Log
 	stream store.Stream
 	hedge  *store.Hedge
 
-	mu      sync.Mutex
-	pending []*write
-	flights int
+	mu       sync.Mutex
+	pending  []*write
+	inFlight int
 }
 
+// write is one caller's record that waits for its outcome.
 type write struct {
 	record store.Record
 	ctx    context.Context
-	// uncertain writes were part of an append without an answer: they may be stored, now or later.
+	// uncertain is true if the write was part of an append of unknown outcome: it may be stored, now or later.
 	uncertain bool
+	// refused is how often the store has refused the write.
 	refused   int
 	startedAt time.Time
 	done      chan error
 }
 
-// write stores the record. It returns nil once it is stored, an error that matches store.ErrNotDone if it is not stored
-// and never will be, or one that matches store.ErrUnknown if the outcome was not known when ctx ended.
+// write stores the record and returns its outcome; see Writer.Submit.
 func (w *partWriter) write(ctx context.Context, record store.Record) error {
 	item := &write{record: record, ctx: ctx, startedAt: time.Now(), done: make(chan error, 1)}
 	w.mu.Lock()
@@ -93,19 +96,20 @@
 	return <-item.done
 }
 
-// dispatch starts an append for what is pending. mu is held.
+// dispatch starts an append of pending writes unless maxInFlight appends are in flight. mu must be held.
 func (w *partWriter) dispatch() {
-	if w.flights >= maxFlights || len(w.pending) == 0 {
+	if w.inFlight >= maxInFlight || len(w.pending) == 0 {
 		return
 	}
 	batch := w.takeBatch()
-	w.flights++
-	go w.fly(batch)
+	w.inFlight++
+	go w.appendBatch(batch)
 }
 
+// takeBatch removes the writes of the next append from pending. mu must be held.
 func (w *partWriter) takeBatch() []*write {
 	size, n := 0, 0
-	for n < len(w.pending) && (n == 0 || size < maxFlightBytes) {
+	for n < len(w.pending) && (n == 0 || size < maxAppendBytes) {
 		size += len(w.pending[n].record.Value)
 		n++
 	}
@@ -114,18 +118,18 @@
 	return batch
 }
 
-// fly appends the batch until every write of it has an outcome.
-func (w *partWriter) fly(batch []*write) {
+// appendBatch appends the batch and retries until every write of it has an outcome.
+func (w *partWriter) appendBatch(batch []*write) {
 	for len(batch) > 0 {
 		err := w.append(batch)
-		batch = settle(batch, err)
+		batch = deliverOutcomes(batch, err)
 		if len(batch) > 0 {
 			time.Sleep(appendRetryInterval)
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.flights--
+	w.inFlight--
 	w.dispatch()
 }
 
@@ -138,20 +142,20 @@
 	return err
 }
 
-// settle gives the outcome to the writes that have one and returns the others.
-func settle(batch []*write, err error) []*write {
-	var open []*write
+// deliverOutcomes sends the outcome to the callers of the writes that have one and returns the other writes.
+func deliverOutcomes(batch []*write, err error) []*write {
+	var unsettled []*write
 	for _, item := range batch {
 		if outcome, ok := item.outcome(err); ok {
 			item.done <- outcome
 			continue
 		}
-		open = append(open, item)
+		unsettled = append(unsettled, item)
 	}
-	return open
+	return unsettled
 }
 
-// outcome returns what the caller is told after an append; false to try again.
+// outcome returns the error for the caller after an append that returned err; false if the write has to be retried.
 func (i *write) outcome(err error) (error, bool) {
 	if err == nil {
 		return nil, true
@@ -162,7 +166,7 @@
 		i.uncertain = true
 	}
 	if i.uncertain {
-		return errors.Join(store.ErrUnknown, err), i.ctx.Err() != nil || time.Since(i.startedAt) > unknownPatience
+		return errors.Join(store.ErrUnknown, err), i.ctx.Err() != nil || time.Since(i.startedAt) > unknownRetryWindow
 	}
-	return err, i.ctx.Err() != nil || i.refused >= refusedAttempts
+	return err, i.ctx.Err() != nil || i.refused >= maxRefusals
 }
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -442,8 +442,8 @@
 func (l *Leader) deleteJobRecords(ctx context.Context, ids []workload.JobID) error {
 	states := make([]store.Record, len(ids))
 	for i, id := range ids {
-		states[i] = joblog.DropState(id)
-		err := l.Log.Append(ctx, joblog.IntakeOf(id), joblog.DropIntake(id), nil, journalTimeout)
+		states[i] = joblog.StateTombstone(id)
+		err := l.Log.Append(ctx, joblog.IntakeStream(id), joblog.IntakeTombstones(id), nil, journalTimeout)
 		if err != nil {
 			l.out.Warn().Err(err).Str("job", string(id)).Msg("records of an ended job not deleted; the next holder of the schedule retries")
 			return nil
--- a/node/frontend.go
+++ b/node/frontend.go
@@ -115,7 +115,7 @@
 func (n *Node) lookUp(ctx context.Context, access Access, id workload.JobID) (joblog.Entry, error) {
 	entry, ok := n.view.Get(id)
 	if !ok {
-		err := n.refresh(ctx, 0, store.States, joblog.IntakeOf(id))
+		err := n.refresh(ctx, 0, store.States, joblog.IntakeStream(id))
 		entry, ok = n.view.Get(id)
 		if !ok && err != nil {
 			return joblog.Entry{}, errkind.Wrap(err, errkind.Unavailable, "try again at another VM", "this VM cannot read the jobs now")
