--- a/store/cursor.go
+++ b/store/cursor.go
@@ -8,8 +8,8 @@
 	"github.com/redwingthread/redwingthread/boottime"
 )
 
-// Cursor reads a stream: first the newest record of every key, then what is appended. It starts over when records were
-// dropped before it read them. It is not safe for concurrent use.
+// Cursor reads a stream: first the newest record of every key, then the records appended since. It starts over if records
+// expire before it has read them. It is not safe for concurrent use.
 type Cursor struct {
 	Stream Stream
 	loaded bool
@@ -19,18 +19,20 @@
 // Update is what one read of a cursor returned.
 type Update struct {
 	Records []Record
-	// StartedAt is the start of the read on the boot clock. Complete reports that all that was stored before it is included.
+	// StartedAt is the start of the read on the boot clock. Complete is true if the cursor has now read all records that
+	// were stored before StartedAt.
 	StartedAt time.Duration
 	Complete  bool
-	// Loaded reports that Records are the newest of every key; keys that are missing have been dropped.
+	// Loaded is true if Records holds the newest record of every key; keys that are missing have been deleted.
 	Loaded bool
-	// Expired reports that the cursor had to start over.
+	// Expired is true if the cursor had to start over.
 	Expired bool
 	// Next is the offset of the next read.
 	Next int64
 }
 
-// Read returns the next records. It waits up to wait for the first one, but not for the newest of every key.
+// Read returns the next records, or the error of the log. It waits up to wait for the first one, but not when it loads the
+// newest record of every key.
 func (c *Cursor) Read(ctx context.Context, log Log, wait time.Duration) (*Update, error) {
 	if !c.loaded {
 		return c.load(ctx, log)
@@ -51,8 +53,8 @@
 	return &Update{Records: batch.Records, StartedAt: startedAt, Complete: c.next >= batch.End, Next: c.next}, nil
 }
 
-// load reads the newest record of each key. The pages are read at different times; reading on from the end that the first
-// one states repeats what changed meanwhile.
+// load reads the newest record of each key. The pages are read at different times, so the next read continues from the end
+// of the stream as of the first page and repeats records appended meanwhile.
 func (c *Cursor) load(ctx context.Context, log Log) (*Update, error) {
 	update := &Update{StartedAt: boottime.Now(), Complete: true, Loaded: true}
 	after := ""
--- a/store/hedge.go
+++ b/store/hedge.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	// minHedgeDelay is the least time after which a call without answer is sent again; answers usually take a few
-	// milliseconds. firstHedgeDelay is that time before any call was answered.
-	minHedgeDelay   = 100 * time.Millisecond
-	firstHedgeDelay = 400 * time.Millisecond
-	// hedgeFactor times the time of recent answers must pass before a call is sent again, so that a slow store does not get
-	// each call twice.
+	// minHedgeDelay is the minimum time after which a request without response is sent again; responses usually take a few
+	// milliseconds. initialHedgeDelay is that time until the first response.
+	minHedgeDelay     = 100 * time.Millisecond
+	initialHedgeDelay = 400 * time.Millisecond
+	// hedgeFactor is the delay before a request is sent again, in multiples of the typical latency, so that a slow store
+	// does not get each request twice.
 	hedgeFactor = 3
-	// maxAttempts bounds the attempts of one call that are under way at once.
+	// maxAttempts bounds the attempts of one request.
 	maxAttempts = 4
-	// answerDecay is the weight of the newest answer in the time that answers take, when they become faster.
-	answerDecay = 0.3
+	// latencyDecay is the weight of the newest response in the typical latency if it was faster than that.
+	latencyDecay = 0.3
 )
 
-// Hedge sends idempotent calls again while an earlier attempt has no answer: the store may execute a call and lose the
-// answer, and a wait for the call's timeout would outlast a membership. The callers of one store share a Hedge, which
-// knows how fast the store answers. The zero value is ready. It is safe for concurrent use.
+// Hedge sends idempotent requests again while earlier attempts have no response: the response of an executed request may be
+// lost, and waiting for the timeout would outlast a group membership. All callers of one store share a Hedge, which tracks
+// the latency of the store. The zero value is ready to use. It is safe for concurrent use.
 type Hedge struct {
 	mu sync.Mutex
-	// usual is how long recent answers took, once answers are known.
-	usual time.Duration
-	known bool
+	// typicalLatency rises at once with a slower response and decays with faster ones. It is valid once measured is set.
+	typicalLatency time.Duration
+	measured       bool
 }
 
-// attempt is the outcome of one attempt.
-type attempt[T any] struct {
+// attemptResult is the outcome of one attempt.
+type attemptResult[T any] struct {
 	value T
 	err   error
 }
 
-// Hedged calls f, and calls it again in parallel while there is no answer. It returns the first answer and the number of
-// attempts, or an error that matches ErrUnknown once no attempt is left. f must be idempotent and end with its context,
-// which ends after timeout.
+// Hedged calls f, and calls it again in parallel while no attempt has succeeded. It returns the first success or rejection
+// and the number of attempts. Once all attempts in flight have failed it returns their error, one that matches ErrUnknown
+// if any attempt has an unknown outcome. f must be idempotent and return when its context ends, which is after timeout.
 func Hedged[T any](ctx context.Context, h *Hedge, timeout time.Duration, f func(context.Context) (T, error)) (value T, attempts int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answers := make(chan attempt[T], maxAttempts)
+	results := make(chan attemptResult[T], maxAttempts)
 	send := func() {
 		attempts++
 		go func() {
 			startedAt := time.Now()
 			value, err := f(ctx)
 			if err == nil {
-				h.learn(time.Since(startedAt))
+				h.recordLatency(time.Since(startedAt))
 			}
-			answers <- attempt[T]{value, err}
+			results <- attemptResult[T]{value, err}
 		}()
 	}
 	send()
-	open := 1
+	inFlight := 1
 	delay := h.delay()
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -65,25 +65,26 @@
 		case <-timer.C:
 			if attempts < maxAttempts {
 				send()
-				open++
-				// The pauses grow, as the store may have become slow just now.
+				inFlight++
+				// The delay grows because the store may just have become slow.
 				delay += delay / 2
 				timer.Reset(delay)
 			}
-		case a := <-answers:
-			open--
-			if Failure(a.err) == nil {
+		case a := <-results:
+			inFlight--
+			if IgnoreRejection(a.err) == nil {
 				return a.value, attempts, a.err
 			}
-			err = worse(err, a.err)
-			if open == 0 {
+			err = lessCertain(err, a.err)
+			if inFlight == 0 {
 				return value, attempts, err
 			}
 		}
 	}
 }
 
-// Append appends the records as Hedged calls do; they need a key or a sequence number. It returns the number of attempts.
+// Append makes a hedged append and returns the number of attempts. A repeat must have no effect, so the records need keys
+// or the producer a sequence number.
 func (h *Hedge) Append(ctx context.Context, log Log, stream Stream, records []Record, producer *Producer, timeout time.Duration) (attempts int, err error) {
 	_, attempts, err = Hedged(ctx, h, timeout, func(ctx context.Context) (struct{}, error) {
 		return struct{}{}, log.Append(ctx, stream, records, producer, timeout)
@@ -91,32 +92,33 @@
 	return attempts, err
 }
 
-// worse returns the error that says less of the call: an attempt of unknown outcome makes the call's outcome unknown.
-func worse(a, b error) error {
+// lessCertain returns the error that claims less about the request: one attempt of unknown outcome makes the outcome of the
+// request unknown.
+func lessCertain(a, b error) error {
 	if a == nil || errors.Is(b, ErrUnknown) {
 		return b
 	}
 	return a
 }
 
-// learn takes in the time that an answer took.
-func (h *Hedge) learn(took time.Duration) {
+// recordLatency updates the typical latency with the duration of a successful attempt.
+func (h *Hedge) recordLatency(took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.known = true
-	if took > h.usual {
-		h.usual = took
+	h.measured = true
+	if took > h.typicalLatency {
+		h.typicalLatency = took
 		return
 	}
-	h.usual += time.Duration(answerDecay * float64(took-h.usual))
+	h.typicalLatency += time.Duration(latencyDecay * float64(took-h.typicalLatency))
 }
 
-// delay returns how long an attempt may go without answer before the next one.
+// delay returns the time to wait for a response before the first repeat of a request.
 func (h *Hedge) delay() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.known {
-		return firstHedgeDelay
+	if !h.measured {
+		return initialHedgeDelay
 	}
-	return max(minHedgeDelay, hedgeFactor*h.usual)
+	return max(minHedgeDelay, hedgeFactor*h.typicalLatency)
 }
--- a/store/store.go
+++ b/store/store.go
@@ -1,5 +1,5 @@
-// Package store describes the platform's metadata store as the product uses it: topics of records, of which keyed ones
-// keep the newest record of each key for good, conditional appends by fenced producers, and groups that assign parts.
+// Package store defines the interface to the platform's metadata store: keyed topics, which keep the newest record of each
+// key forever, appends by fenced producers, and groups that assign a part to one member.
 package store
 
 import (
@@ -9,35 +9,35 @@
 	"time"
 )
 
-// The outcomes of a failed call.
+// Errors of requests to the store.
 var (
-	// ErrNotDone marks a call that the store refused or never saw; it had no effect and will have none.
+	// ErrNotDone means that the store refused the request or never received it; it had no effect and will have none.
 	ErrNotDone = errors.New("store: the call was not executed")
-	// ErrUnknown marks a call without an answer; it may have been executed, or may be executed later.
+	// ErrUnknown means that no usable response arrived; the request may have been executed, or may be executed later.
 	ErrUnknown = errors.New("store: the outcome of the call is unknown")
-	// ErrFenced marks an append of a producer whose epoch another producer has overtaken.
+	// ErrFenced means that an append was rejected because the producer has a higher epoch.
 	ErrFenced = errors.New("store: a newer epoch of the producer exists")
-	// ErrExpired marks a read from an offset whose records are gone.
-	ErrExpired = errors.New("store: the records before the first retained offset are gone")
+	// ErrExpired means that the offset of a read is before the first retained record.
+	ErrExpired = errors.New("store: offset is before the first retained record")
 )
 
-// SequenceError refuses an append whose sequence number does not follow the last one. The append had no effect now; an
-// earlier attempt of it may have had.
+// SequenceError rejects an append whose sequence number does not follow the last one. The rejected attempt had no effect;
+// an earlier attempt of the same append may have been executed.
 type SequenceError struct {
-	// Expected is the number that follows the last one.
+	// Expected is the sequence number that the store expects next.
 	Expected int64
 }
 
-// Error names the expected number.
+// Error names the expected sequence number.
 func (e *SequenceError) Error() string {
-	return "store: the next sequence number is " + strconv.FormatInt(e.Expected, 10)
+	return "store: append out of sequence: the expected sequence number is " + strconv.FormatInt(e.Expected, 10)
 }
 
-// Failure returns err unless the store answered the call and refused it for its epoch or sequence number, which says
-// that the store works.
-func Failure(err error) error {
-	var wrong *SequenceError
-	if errors.Is(err, ErrFenced) || errors.As(err, &wrong) {
+// IgnoreRejection returns nil if the store rejected an append for its epoch or sequence number, which shows that the store
+// works, and err otherwise.
+func IgnoreRejection(err error) error {
+	var sequenceErr *SequenceError
+	if errors.Is(err, ErrFenced) || errors.As(err, &sequenceErr) {
 		return nil
 	}
 	return err
@@ -52,13 +52,13 @@
 	TopicIntake Topic = "intake"
 	// TopicStates holds job states.
 	TopicStates Topic = "states"
-	// TopicConfig holds what operators publish.
+	// TopicConfig holds the configuration that operators publish.
 	TopicConfig Topic = "config"
-	// TopicWorkers holds what workers say of themselves.
+	// TopicWorkers holds the entries that workers publish about themselves.
 	TopicWorkers Topic = "workers"
 )
 
-// Stream is one part of a topic. Appends to a part are executed one after the other.
+// Stream is one part of a topic. Appends to a part are executed one at a time.
 type Stream struct {
 	Topic Topic
 	Part  int
@@ -71,56 +71,60 @@
 	Workers = Stream{Topic: TopicWorkers}
 )
 
-// String names the stream in log lines.
+// String returns the topic and the part for log lines, separated by a slash.
 func (s Stream) String() string { return string(s.Topic) + "/" + strconv.Itoa(s.Part) }
 
-// Record is one record of a keyed topic. A record without value drops its key.
+// Record is one record of a keyed topic. A record without value deletes its key.
 type Record struct {
 	Key    string
 	Value  []byte
 	Offset int64
 }
 
-// Batch is what a read returned.
+// Batch is the result of Log.Read.
 type Batch struct {
-	// End is the offset after the last record of the stream, First the oldest offset retained.
+	// End is the offset after the last record of the stream, First the oldest retained offset.
 	End, First int64
 	Records    []Record
 }
 
-// Page is one page of the newest records of all keys. Pages are read at different times and are no snapshot.
+// Page is one page of the newest records of all keys. Pages are read at different times, so together they are no consistent
+// snapshot.
 type Page struct {
 	Records []Record
-	More    bool
-	End     int64
+	// More is true if further pages follow.
+	More bool
+	// End is the offset after the last record of the stream.
+	End int64
 }
 
-// Producer identifies an append of a fenced writer. A higher epoch shuts out the lower ones.
+// Producer identifies an append of a fenced writer. A higher epoch fences the lower ones.
 type Producer struct {
 	Name     string
 	Epoch    int64
 	Sequence int64
 }
 
-// Assignment is what a group gives a member.
+// Assignment is the result of a group's assignment for one member.
 type Assignment struct {
 	Generation int64
-	// Holds reports whether the member holds the group's only part.
+	// Holds is true if the member holds the group's only part.
 	Holds bool
 }
 
-// Log is the store.
+// Log is the client of the store. Its errors match ErrNotDone, ErrUnknown or a more specific error of this package.
 type Log interface {
-	// Append adds the records to the stream, all or none. producer may be nil. No records with a producer set the epoch.
+	// Append adds the records to the stream, all or none. producer may be nil. An append without records registers the
+	// producer's epoch.
 	Append(ctx context.Context, stream Stream, records []Record, producer *Producer, timeout time.Duration) error
-	// Read returns records from the offset on; it waits up to wait for the first one.
+	// Read returns the records from offset from on; it waits up to wait for the first one.
 	Read(ctx context.Context, stream Stream, from int64, wait time.Duration) (*Batch, error)
-	// Newest returns the newest record of each key behind after, in the order of keys.
+	// Newest returns a page of the newest records of the keys greater than after, in the order of keys.
 	Newest(ctx context.Context, stream Stream, after string) (*Page, error)
-	// Join joins the group or keeps the member in it for ttl.
+	// Join adds the member to the group, or keeps it there, for ttl.
 	Join(ctx context.Context, group, member string, ttl time.Duration, generation int64) (Assignment, error)
-	// Leave gives the member's part back.
+	// Leave removes the member from the group and releases its part.
 	Leave(ctx context.Context, group, member string, generation int64) error
-	// Holder returns the member that holds the group's only part, empty if none does.
+	// Holder returns the member that holds the group's only part; empty if none does.
 	Holder(ctx context.Context, group string) (member string, err error)
 }
--- a/store/storetest/fake.go
+++ b/store/storetest/fake.go
@@ -12,38 +12,40 @@
 	"github.com/redwingthread/redwingthread/store"
 )
 
-// Fault decides what happens to a call: nil lets it pass, an error is returned. A Fault that returns an error which
-// matches store.ErrUnknown may ask for the call to be executed all the same.
+// Fault decides the outcome of a call: it returns the error of the call, nil for none, and whether the call is executed. An
+// error that matches store.ErrUnknown may be combined with execution.
 type Fault func(call string) (err error, execute bool)
 
 // Fake is an in-memory store. Its zero value is not usable; see New.
 type Fake struct {
 	mu        sync.Mutex
-	topics    map[store.Stream]*topic
+	byStream  map[store.Stream]*streamData
 	producers map[string]*producer
 	groups    map[string]*group
 	fault     Fault
-	changed   chan struct{}
-	// PageSize is the number of records in a page of the newest.
+	// changed is closed and replaced after each append.
+	changed chan struct{}
+	// PageSize is the maximum number of records in a page of Newest.
 	PageSize int
 	now      func() time.Time
 }
 
-type topic struct {
+// streamData holds the retained records of a stream from offset first on, and the newest record of each key.
+type streamData struct {
 	first   int64
 	records []store.Record
 	newest  map[string]store.Record
 }
 
 // producer is the state of a fenced writer. As in the platform's store, an append without records raises the epoch and
-// leaves the sequence as it was. Repeats are told by the number alone, whichever epoch used it.
+// leaves the sequence as it was. Repeats are detected by the sequence number alone, whichever epoch used it.
 type producer struct {
 	epoch  int64
 	next   int64
 	recent []int64
 }
 
-// recentAppends is how many of the last appends are recognised when they are repeated.
+// recentAppends is the number of most recent appends whose repeats are detected.
 const recentAppends = 5
 
 type group struct {
@@ -55,7 +57,7 @@
 // New returns an empty store.
 func New() *Fake {
 	return &Fake{
-		topics:    map[store.Stream]*topic{},
+		byStream:  map[store.Stream]*streamData{},
 		producers: map[string]*producer{},
 		groups:    map[string]*group{},
 		changed:   make(chan struct{}),
@@ -64,14 +66,15 @@
 	}
 }
 
-// SetFault installs the fault of all later calls; nil removes it.
+// SetFault sets the fault of all later calls; nil removes it.
 func (f *Fake) SetFault(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = fault
 }
 
-func (f *Fake) check(call string) (error, bool) {
+// injectFault returns the outcome that the fault decides for a call.
+func (f *Fake) injectFault(call string) (error, bool) {
 	f.mu.Lock()
 	fault := f.fault
 	f.mu.Unlock()
@@ -81,25 +84,26 @@
 	return fault(call)
 }
 
-func (f *Fake) topic(name store.Stream) *topic {
-	t := f.topics[name]
+// streamData returns the data of a stream, which it creates if needed.
+func (f *Fake) streamData(stream store.Stream) *streamData {
+	t := f.byStream[stream]
 	if t == nil {
-		t = &topic{newest: map[string]store.Record{}}
-		f.topics[name] = t
+		t = &streamData{newest: map[string]store.Record{}}
+		f.byStream[stream] = t
 	}
 	return t
 }
 
 // Append implements store.Log.
-func (f *Fake) Append(_ context.Context, name store.Stream, records []store.Record, p *store.Producer, _ time.Duration) error {
-	fault, execute := f.check("append")
+func (f *Fake) Append(_ context.Context, stream store.Stream, records []store.Record, p *store.Producer, _ time.Duration) error {
+	fault, execute := f.injectFault("append")
 	if !execute {
 		return fault
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p != nil {
-		repeat, err := f.admit(p, len(records))
+		repeat, err := f.checkProducer(p, len(records))
 		if err != nil {
 			return err
 		}
@@ -107,7 +111,7 @@
 			return fault
 		}
 	}
-	t := f.topic(name)
+	t := f.streamData(stream)
 	for _, r := range records {
 		r.Offset = t.first + int64(len(t.records))
 		t.records = append(t.records, r)
@@ -122,8 +126,9 @@
 	return fault
 }
 
-// admit checks epoch and sequence of a producer's append.
-func (f *Fake) admit(p *store.Producer, records int) (repeat bool, err error) {
+// checkProducer checks the epoch and the sequence number of a producer's append, and records them. repeat is true if there
+// is nothing to append.
+func (f *Fake) checkProducer(p *store.Producer, records int) (repeat bool, err error) {
 	state := f.producers[p.Name]
 	if state == nil {
 		state = &producer{epoch: p.Epoch}
@@ -151,15 +156,15 @@
 }
 
 // Read implements store.Log.
-func (f *Fake) Read(ctx context.Context, name store.Stream, from int64, wait time.Duration) (*store.Batch, error) {
-	if fault, execute := f.check("read"); !execute || fault != nil {
+func (f *Fake) Read(ctx context.Context, stream store.Stream, from int64, wait time.Duration) (*store.Batch, error) {
+	if fault, execute := f.injectFault("read"); !execute || fault != nil {
 		return nil, fault
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		f.mu.Lock()
-		t := f.topic(name)
+		t := f.streamData(stream)
 		end := t.first + int64(len(t.records))
 		if from < t.first {
 			f.mu.Unlock()
@@ -185,13 +190,13 @@
 }
 
 // Newest implements store.Log.
-func (f *Fake) Newest(_ context.Context, name store.Stream, after string) (*store.Page, error) {
-	if fault, execute := f.check("newest"); !execute || fault != nil {
+func (f *Fake) Newest(_ context.Context, stream store.Stream, after string) (*store.Page, error) {
+	if fault, execute := f.injectFault("newest"); !execute || fault != nil {
 		return nil, fault
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := f.topic(name)
+	t := f.streamData(stream)
 	var keys []string
 	for key := range t.newest {
 		if key > after {
@@ -206,25 +211,25 @@
 	return page, nil
 }
 
-// DropHistory removes all records of the topic; the newest of each key stay.
-func (f *Fake) DropHistory(name store.Stream) {
+// DropHistory expires all records of the stream; the newest record of each key stays available to Newest.
+func (f *Fake) DropHistory(stream store.Stream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := f.topic(name)
+	t := f.streamData(stream)
 	t.first += int64(len(t.records))
 	t.records = nil
 }
 
-// Value returns the newest value of a key; nil if there is none.
-func (f *Fake) Value(name store.Stream, key string) []byte {
+// Value returns the newest value of a key in the stream; nil if there is none.
+func (f *Fake) Value(stream store.Stream, key string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.topic(name).newest[key].Value
+	return f.streamData(stream).newest[key].Value
 }
 
 // Join implements store.Log.
 func (f *Fake) Join(_ context.Context, name, member string, ttl time.Duration, _ int64) (store.Assignment, error) {
-	if fault, execute := f.check("join"); !execute || fault != nil {
+	if fault, execute := f.injectFault("join"); !execute || fault != nil {
 		return store.Assignment{}, fault
 	}
 	f.mu.Lock()
@@ -240,6 +245,7 @@
 	return store.Assignment{Generation: g.generation, Holds: g.holder == member}, nil
 }
 
+// group returns the group after removing the members whose ttl has expired.
 func (f *Fake) group(name string) *group {
 	g := f.groups[name]
 	if g == nil {
@@ -256,8 +262,8 @@
 	return g
 }
 
-// assign gives the part to the first member by name when its holder is gone, or when a new member has joined: the
-// platform's store deals the parts anew then.
+// assign gives the part to the first member by name if it has no holder or its holder is gone. Join clears the holder when a
+// new member joins, because the platform's store reassigns the parts then.
 func (f *Fake) assign(g *group) {
 	if _, alive := g.members[g.holder]; alive {
 		return
@@ -272,7 +278,7 @@
 
 // Leave implements store.Log.
 func (f *Fake) Leave(_ context.Context, name, member string, _ int64) error {
-	if fault, execute := f.check("leave"); !execute || fault != nil {
+	if fault, execute := f.injectFault("leave"); !execute || fault != nil {
 		return fault
 	}
 	f.mu.Lock()
@@ -286,7 +292,7 @@
 	return nil
 }
 
-// Redeal deals the group's part anew, as the platform's store does at times without being asked.
+// Redeal reassigns the group's part, as the platform's store sometimes does spontaneously.
 func (f *Fake) Redeal(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -300,7 +306,7 @@
 func (f *Fake) Streams() (streams []store.Stream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for stream := range f.topics {
+	for stream := range f.byStream {
 		streams = append(streams, stream)
 	}
 	return streams
@@ -308,7 +314,7 @@
 
 // Holder implements store.Log.
 func (f *Fake) Holder(_ context.Context, name string) (string, error) {
-	if fault, execute := f.check("holder"); !execute || fault != nil {
+	if fault, execute := f.injectFault("holder"); !execute || fault != nil {
 		return "", fault
 	}
 	f.mu.Lock()
