--- a/node/configwatch.go
+++ b/node/configwatch.go
@@ -14,59 +14,60 @@
 )
 
 const (
-	// configPoll is how long a read of the configuration waits at the store. Each completed read confirms the
+	// configLongPollWait is how long a read of the configuration waits for new records. Each complete read confirms the
 	// configuration as of its start.
-	configPoll = 500 * time.Millisecond
-	// configRetry is the pause after a failed read.
-	configRetry = 100 * time.Millisecond
+	configLongPollWait = 500 * time.Millisecond
+	// configRetryInterval is the pause after a failed read, or while there is no configuration yet.
+	configRetryInterval = 100 * time.Millisecond
 )
 
-// configWatch follows the configuration.
+// configWatch follows the configuration in the store.
 type configWatch struct {
 	log     store.Log
 	decoder Decoder
 	out     zerolog.Logger
-	// changed is called with each new version.
-	changed func(*workload.Config)
+	// onChange is called with each new version.
+	onChange func(*workload.Config)
 
 	mu     sync.Mutex
 	config *workload.Config
 	// confirmedAt is the start of the read that last confirmed the configuration, on the boot clock.
 	confirmedAt time.Duration
 
-	// cursor and dependency belong to the goroutine of run.
+	// cursor and dependency are used only by the goroutine of run.
 	cursor     store.Cursor
 	dependency telemetry.Dependency
 }
 
-// current returns the newest configuration and its age; nil before the first one.
+// current returns the newest configuration, nil before the first one, and the time since it was last confirmed.
 func (w *configWatch) current() (*workload.Config, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.config, boottime.Now() - w.confirmedAt
 }
 
+// run reads the configuration until ctx ends.
 func (w *configWatch) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := w.read(ctx)
 		w.dependency.Note(w.out, "store", err)
 		if err != nil {
-			boottime.Sleep(ctx, configRetry)
+			boottime.Sleep(ctx, configRetryInterval)
 			continue
 		}
 		if config, _ := w.current(); config == nil {
-			boottime.Sleep(ctx, configRetry)
+			boottime.Sleep(ctx, configRetryInterval)
 		}
 	}
 }
 
 func (w *configWatch) read(ctx context.Context) error {
-	update, err := w.cursor.Read(ctx, w.log, configPoll)
+	update, err := w.cursor.Read(ctx, w.log, configLongPollWait)
 	if err != nil {
 		return err
 	}
 	if update.Expired {
-		w.out.Warn().Msg("configuration records were dropped before they were read; the newest were read")
+		w.out.Warn().Msg("configuration records expired before they were read; the newest were loaded instead")
 	}
 	for _, r := range update.Records {
 		w.apply(r)
@@ -83,14 +84,14 @@
 	w.confirmedAt = max(w.confirmedAt, startedAt)
 }
 
-// apply takes a record of the operators. An older version than the current one is ignored.
+// apply decodes a record and makes its configuration current. It ignores versions that are not newer than the current one.
 func (w *configWatch) apply(r store.Record) {
 	if !w.decoder.IsConfig(r) || len(r.Value) == 0 {
 		return
 	}
 	config, err := w.decoder.Config(r.Value)
 	if err != nil {
-		w.out.Error().Err(err).Int64("offset", r.Offset).Msg("configuration cannot be read; the last one stays in force")
+		w.out.Error().Err(err).Int64("offset", r.Offset).Msg("configuration cannot be decoded; the previous version stays in force")
 		return
 	}
 	w.mu.Lock()
@@ -103,5 +104,5 @@
 	w.mu.Unlock()
 	w.out.Info().Int64("version", config.Version).Int64("offset", r.Offset).Int("queues", len(config.Queues)).
 		Int("keys", len(config.KeyAccounts)).Msg("configuration in force")
-	w.changed(config)
+	w.onChange(config)
 }
--- a/node/frontend.go
+++ b/node/frontend.go
@@ -12,29 +12,33 @@
 )
 
 const (
-	// stateMaxAge is how old the view may be when a caller asks for a job that has not ended.
+	// stateMaxAge is the maximum age of the view when a caller queries a job that has not ended.
 	stateMaxAge = 100 * time.Millisecond
-	// refreshTimeout bounds the wait for a newer view; without the store the last one answers.
+	// refreshTimeout bounds the wait for a newer view; after that the last one is used.
 	refreshTimeout = 400 * time.Millisecond
-	// waitingMaxAge is how old the count of waiting jobs may be.
+	// waitingMaxAge is the maximum age of the count of waiting jobs.
 	waitingMaxAge = time.Second
 	// defaultDeadline bounds a request without a deadline of its own.
 	defaultDeadline = 3 * time.Second
-	// answerMargin is kept of the deadline for the way back.
-	answerMargin = 100 * time.Millisecond
+	// responseMargin is subtracted from the deadline to leave time for sending the response.
+	responseMargin = 100 * time.Millisecond
 )
 
-// Access is what a caller may use.
+// Access is what a caller is authorized to use.
 type Access struct {
-	Queue   *workload.Queue
+	Queue *workload.Queue
+	// Account is the client account of the key; empty on a public queue.
 	Account string
 	Limits  workload.RequestLimits
-	// ConfigVersion and ConfigAge are what the decision was based on.
+	// ConfigVersion is the version of the configuration that the decision is based on, ConfigAge the time since that was
+	// last confirmed.
 	ConfigVersion int64
 	ConfigAge     time.Duration
 }
 
-// Authorize decides whether a request to host and path with the given key may go on.
+// Authorize returns the access that the key gives to the queue at host and path. The error is Unavailable if this VM has no
+// configuration, or one that is too old to tell whether the key was revoked; NotFound if no queue matches; and
+// Unauthenticated if the key is unknown.
 func (n *Node) Authorize(host, path, key string) (Access, error) {
 	config, age := n.config.current()
 	if config == nil {
@@ -42,13 +46,13 @@
 	}
 	access := Access{Limits: config.Limits, ConfigVersion: config.Version, ConfigAge: age}
 	bounds := &n.Settings.Bounds
-	if bounds.StrictRevocation && age > bounds.KeyRevocation-keyMargin {
+	if bounds.StrictRevocation && age > bounds.KeyRevocation-revocationMargin {
 		return access, errkind.New(errkind.Unavailable, "try again at another VM",
 			"the configuration was last confirmed %d ms ago", age.Milliseconds())
 	}
 	access.Queue = config.Match(host, path)
 	if access.Queue == nil {
-		return access, errkind.New(errkind.NotFound, "check host and path", "there is no queue at this path")
+		return access, errkind.New(errkind.NotFound, "check host and path", "no queue matches this host and path")
 	}
 	if access.Queue.Public {
 		return access, nil
@@ -61,8 +65,8 @@
 	return access, nil
 }
 
-// Submit stores a job. It returns nil once the job is accepted; a refusal that matches Unavailable or Overloaded means
-// that the job never runs.
+// Submit stores a job. It returns nil once the job is accepted. An Unavailable or Overloaded error means that the job never
+// runs; after a DeadlineExceeded error it may run.
 func (n *Node) Submit(ctx context.Context, access Access, job *workload.Job) error {
 	job.Queue = access.Queue.Name
 	job.Service = access.Queue.Service
@@ -74,15 +78,15 @@
 	if _, known := n.view.Get(job.ID); known {
 		return nil
 	}
-	if err := storeInReach(access); err != nil {
+	if err := checkStoreReachable(access); err != nil {
 		return err
 	}
-	return n.stored(job.ID, n.writer.Submit(ctx, job))
+	return n.writeError(job.ID, n.writer.Submit(ctx, job))
 }
 
-// storeInReach refuses a write at once while the store does not answer this VM, so that the caller has time to reach
-// another VM.
-func storeInReach(access Access) error {
+// checkStoreReachable returns an Unavailable error if the store has not responded to this VM for readyConfigAge, so that the
+// caller has time to reach another VM.
+func checkStoreReachable(access Access) error {
 	if access.ConfigAge <= readyConfigAge {
 		return nil
 	}
@@ -90,13 +94,13 @@
 		"the store has not answered for %d ms", access.ConfigAge.Milliseconds())
 }
 
-// stored translates the outcome of a caller's write.
-func (n *Node) stored(id workload.JobID, err error) error {
+// writeError returns the caller's error for the outcome of a write. An unknown outcome is a success if the view has the job.
+func (n *Node) writeError(id workload.JobID, err error) error {
 	if err == nil {
 		return nil
 	}
 	if errors.Is(err, store.ErrNotDone) && !errors.Is(err, store.ErrUnknown) {
-		return errkind.Wrap(err, errkind.Unavailable, "try again at another VM", "the store refused")
+		return errkind.Wrap(err, errkind.Unavailable, "try again at another VM", "the store refused the write")
 	}
 	if _, known := n.view.Get(id); known {
 		return nil
@@ -104,24 +108,25 @@
 	return errkind.Wrap(err, errkind.DeadlineExceeded, "send the same request again", "the store has not answered")
 }
 
-// Phase returns where a job stands. An unknown job gives a NotFound error.
+// Phase returns the phase of a job. The error is NotFound if the caller has no such job, or Unavailable if this VM cannot
+// tell.
 func (n *Node) Phase(ctx context.Context, access Access, id workload.JobID) (workload.Phase, error) {
 	entry, err := n.lookUp(ctx, access, id)
 	return entry.Phase, err
 }
 
-// lookUp returns the job if it belongs to the caller. An answer that can still change is looked up in a fresh view; that a
-// job does not exist is said only by a VM whose view is fresh.
+// lookUp returns the job if it belongs to the caller. The view is refreshed first if the job has not ended, and a NotFound
+// error for an unknown job is returned only after a successful refresh.
 func (n *Node) lookUp(ctx context.Context, access Access, id workload.JobID) (joblog.Entry, error) {
 	entry, ok := n.view.Get(id)
 	if !ok {
 		err := n.refresh(ctx, 0, store.States, joblog.IntakeStream(id))
 		entry, ok = n.view.Get(id)
 		if !ok && err != nil {
-			return joblog.Entry{}, errkind.Wrap(err, errkind.Unavailable, "try again at another VM", "this VM cannot read the jobs now")
+			return joblog.Entry{}, errkind.Wrap(err, errkind.Unavailable, "try again at another VM", "this VM cannot read the job records from the store")
 		}
 	} else if !entry.Phase.Final() {
-		// Without the store the last view answers; the follower logs the outage.
+		// Without the store the last view is used; the follower logs the outage.
 		_ = n.refresh(ctx, stateMaxAge, store.States)
 		entry, ok = n.view.Get(id)
 	}
@@ -131,14 +136,16 @@
 	return entry, nil
 }
 
-// refresh brings the view of the streams up to date; an error means that the last view stays.
+// refresh waits until the view of the streams is at most maxAge old. On an error the last view stays in use.
 func (n *Node) refresh(ctx context.Context, maxAge time.Duration, streams ...store.Stream) error {
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
 	return n.follower.Refresh(ctx, maxAge, streams...)
 }
 
-// Cancel ends a job. An unknown job gives a NotFound error.
+// Cancel stores the cancellation of a job; it does nothing if the job has ended. The error is NotFound if the caller has no
+// such job, Unavailable if this VM cannot tell or the cancellation is not stored, and DeadlineExceeded if the outcome of the
+// write is unknown.
 func (n *Node) Cancel(ctx context.Context, access Access, id workload.JobID) error {
 	entry, err := n.lookUp(ctx, access, id)
 	if err != nil {
@@ -147,23 +154,23 @@
 	if entry.Phase.Final() {
 		return nil
 	}
-	if err := storeInReach(access); err != nil {
+	if err := checkStoreReachable(access); err != nil {
 		return err
 	}
-	return n.stored("", n.writer.Cancel(ctx, id))
+	return n.writeError("", n.writer.Cancel(ctx, id))
 }
 
-// Waiting returns how many accepted jobs of the queue have nothing started.
+// Waiting returns how many accepted jobs of the queue have not started.
 func (n *Node) Waiting(ctx context.Context, access Access) int {
-	// Without the store the last count answers; the follower logs the outage.
+	// Without the store the last count is used; the follower logs the outage.
 	_ = n.refresh(ctx, waitingMaxAge, n.follower.Streams()...)
 	return n.view.Waiting(access.Queue.Name)
 }
 
-// Deadline returns the context of a request for which the caller waits for remaining; 0 stands for an unknown time.
+// Deadline returns the context of a request whose caller waits for another remaining; 0 if that is unknown.
 func Deadline(ctx context.Context, remaining time.Duration) (context.Context, context.CancelFunc) {
 	if remaining <= 0 {
 		remaining = defaultDeadline
 	}
-	return context.WithTimeout(ctx, max(remaining-answerMargin, remaining/2))
+	return context.WithTimeout(ctx, max(remaining-responseMargin, remaining/2))
 }
--- a/node/membership.go
+++ b/node/membership.go
@@ -13,57 +13,59 @@
 )
 
 const (
-	// scheduleGroup is the group whose assignment decides who holds the schedule.
+	// scheduleGroup is the group whose assignment decides which VM holds the schedule.
 	scheduleGroup = "schedule"
-	// memberTTL is how long the group keeps a silent member; joinInterval is the time between two signs of life.
+	// memberTTL is how long the group keeps a member that does not renew its membership; joinInterval is the time between
+	// two renewals.
 	memberTTL    = 1300 * time.Millisecond
 	joinInterval = 350 * time.Millisecond
-	// joinTimeout bounds the attempts of one sign of life.
+	// joinTimeout bounds one hedged renewal.
 	joinTimeout = 1200 * time.Millisecond
-	// standbySteps and standbyStep spread the VMs' candidacies for a free schedule.
+	// standbySteps and standbyStep spread the times at which VMs try to take a vacant schedule.
 	standbySteps = 12
 	standbyStep  = 30 * time.Millisecond
-	// smallCPUShare is the share of a core below which a VM leaves the schedule to others for smallStandby.
-	smallCPUShare = 0.3
-	smallStandby  = 800 * time.Millisecond
-	// leaveTimeout bounds giving the schedule back at a shutdown.
+	// smallCPUShare is the share of a core below which smallCPUStandby is added to the standby delay of a VM.
+	smallCPUShare   = 0.3
+	smallCPUStandby = 800 * time.Millisecond
+	// leaveTimeout bounds the request to leave the group.
 	leaveTimeout = 800 * time.Millisecond
 )
 
-// membership takes part in the group and runs a leader while this VM holds the schedule.
+// membership joins the group when the schedule is vacant and runs a leader while this VM holds the schedule.
 //
-// Only the holder is a member of the group. The store deals a group's parts anew whenever a member comes or goes, so
-// that standing members would take the schedule from each other at every restart of any of them. The other VMs ask who
-// holds the schedule, and join when nobody does.
+// Only the holder is a member of the group. The store reassigns a group's parts whenever a member joins or leaves, so with
+// permanent members every restart of a VM could move the schedule. The other VMs query the holder and join when there is
+// none.
 type membership struct {
 	node   *Node
 	member string
 
 	joined     bool
 	generation int64
-	// freeSince is when the schedule was first seen without holder, on the boot clock; 0 while it has one.
-	freeSince time.Duration
-	// confirmedAt is the start of the join that last confirmed that this VM holds the schedule, on the boot clock.
-	confirmedAt atomic.Int64
-	leader      *leader.Leader
-	stopLeader  context.CancelFunc
-	leaderDone  chan struct{}
+	// vacantSince is when the schedule was first seen without a holder, on the boot clock; 0 while it has one.
+	vacantSince time.Duration
+	// confirmedAt is the start of the join that last confirmed that this VM holds the schedule, in nanoseconds on the boot
+	// clock.
+	confirmedAt  atomic.Int64
+	leader       *leader.Leader
+	cancelLeader context.CancelFunc
+	leaderDone   chan struct{}
 }
 
-// standbyOf returns how long a VM leaves a free schedule to others, if the group takes roundTrip to answer. It spreads the
-// candidacies further apart than an answer takes, so that seldom two VMs join at once. VMs with a small share of a core
-// wait longest: the holder's work grows with the number of workers.
-func standbyOf(vm string, cpuShare float64, roundTrip time.Duration) time.Duration {
+// standbyDelay returns how long a VM waits before it joins the group of a vacant schedule. roundTrip is the latency of the
+// store: the delay is a multiple of at least that, chosen by the VM's name, so that two VMs rarely join at once. VMs with a
+// small share of a core wait longest, because the holder's work grows with the number of workers.
+func standbyDelay(vm string, cpuShare float64, roundTrip time.Duration) time.Duration {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(vm))
 	spread := time.Duration(hash.Sum32()%standbySteps) * max(standbyStep, roundTrip)
 	if cpuShare < smallCPUShare {
-		return spread + smallStandby
+		return spread + smallCPUStandby
 	}
 	return spread
 }
 
-// run takes part until ctx ends, then gives the schedule back.
+// run follows the group until ctx ends, then releases the schedule.
 func (m *membership) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if config, _ := m.node.config.current(); config != nil {
@@ -71,67 +73,69 @@
 		}
 		boottime.Sleep(ctx, m.interval())
 	}
-	m.giveBack("shutdown")
+	m.release("shutdown")
 }
 
-// interval is short while this VM is about to stand for a free schedule.
+// interval returns the time until the next step, which is short while the schedule is vacant.
 func (m *membership) interval() time.Duration {
-	if m.freeSince > 0 {
+	if m.vacantSince > 0 {
 		return standbyStep
 	}
 	return joinInterval
 }
 
+// step renews the membership of the holder, or joins the group once the schedule was vacant for the standby delay.
 func (m *membership) step(ctx context.Context, config *workload.Config) {
-	if m.joined && !m.lapsed() {
-		m.keep(ctx, config)
+	if m.joined && !m.mayHaveExpired() {
+		m.join(ctx, config)
 		return
 	}
-	askedAt := boottime.Now()
+	queriedAt := boottime.Now()
 	holder, err := m.node.Log.Holder(ctx, scheduleGroup)
 	if m.joined {
-		m.afterLapse(ctx, config, holder, err)
+		m.resolveExpiry(ctx, config, holder, err)
 		return
 	}
 	if err != nil || holder != "" {
-		m.freeSince = 0
+		m.vacantSince = 0
 		return
 	}
 	now := boottime.Now()
-	if m.freeSince == 0 {
-		m.freeSince = now
+	if m.vacantSince == 0 {
+		m.vacantSince = now
 	}
-	if now-m.freeSince >= standbyOf(m.node.Settings.VM, m.node.Settings.CPUShare, now-askedAt) {
-		m.freeSince = 0
+	if now-m.vacantSince >= standbyDelay(m.node.Settings.VM, m.node.Settings.CPUShare, now-queriedAt) {
+		m.vacantSince = 0
 		m.generation = 0
 		m.joined = true
-		m.keep(ctx, config)
+		m.join(ctx, config)
 	}
 }
 
-// ttl is how long the group keeps this VM without a sign of life.
+// ttl returns how long the group keeps this VM without a renewal.
 func (m *membership) ttl() time.Duration { return max(memberTTL, m.node.Settings.Store.MinGroupTTL) }
 
-// lapsed reports whether the group may have dropped this VM.
-func (m *membership) lapsed() bool {
+// mayHaveExpired reports whether the group may have removed this VM because it has not renewed its membership.
+func (m *membership) mayHaveExpired() bool {
 	return m.leader != nil && boottime.Now()-time.Duration(m.confirmedAt.Load()) > m.ttl()
 }
 
-// afterLapse decides what becomes of the schedule when the store answers again. Joining as a new member would take the
-// schedule from a holder that has taken over meanwhile.
-func (m *membership) afterLapse(ctx context.Context, config *workload.Config, holder string, err error) {
+// resolveExpiry renews a membership that may have expired unless another VM has taken over the schedule meanwhile: joining
+// as a new member would take the schedule from that VM.
+func (m *membership) resolveExpiry(ctx context.Context, config *workload.Config, holder string, err error) {
 	switch {
 	case err != nil:
 		m.node.Out.Debug().Err(err).Msg("membership not confirmed")
 	case holder == "" || holder == m.member:
-		m.keep(ctx, config)
+		m.join(ctx, config)
 	default:
-		m.giveBack("another VM holds the schedule")
+		m.release("another VM holds the schedule")
 	}
 }
 
-// keep joins the group or stays in it, and leads while the group gives the schedule to this VM.
-func (m *membership) keep(ctx context.Context, config *workload.Config) {
+// join joins the group or renews the membership. It starts a leader if the group assigns the schedule to this VM, and
+// releases the schedule if it does not.
+func (m *membership) join(ctx context.Context, config *workload.Config) {
 	startedAt := boottime.Now()
 	ttl, generation := m.ttl(), m.generation
 	assignment, _, err := store.Hedged(ctx, &m.node.hedge, joinTimeout, func(ctx context.Context) (store.Assignment, error) {
@@ -143,29 +147,29 @@
 	if err != nil {
 		m.node.Out.Debug().Err(err).Msg("membership not confirmed")
 		if m.leader == nil {
-			m.giveBack("the group did not confirm the candidacy")
+			m.release("the group did not confirm the membership")
 		}
 		return
 	}
 	m.generation = assignment.Generation
 	if !assignment.Holds {
-		m.giveBack("the group assigned the schedule to another VM")
+		m.release("the group assigned the schedule to another VM")
 		return
 	}
 	m.confirmedAt.Store(int64(startedAt))
 	if m.leader == nil {
-		m.lead(ctx, config)
+		m.startLeader(ctx, config)
 		return
 	}
 	if m.leaderEnded() {
-		// The next holder needs a higher epoch, which only a new membership gives.
-		m.giveBack("the leader has ended")
+		// The next leader needs a higher epoch, which only a new membership provides.
+		m.release("the leader has ended")
 	}
 }
 
-// giveBack ends the leader and leaves the group.
-func (m *membership) giveBack(why string) {
-	m.endLeader(why)
+// release stops the leader and leaves the group.
+func (m *membership) release(reason string) {
+	m.stopLeader(reason)
 	if !m.joined {
 		return
 	}
@@ -173,11 +177,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if err := m.node.Log.Leave(ctx, scheduleGroup, m.member, m.generation); err != nil {
-		m.node.Out.Warn().Err(err).Msg("group not left; the schedule passes on when the membership expires")
+		m.node.Out.Warn().Err(err).Msg("group not left; the schedule is reassigned when the membership expires")
 	}
 }
 
-// leaderEnded reports whether no leader runs.
+// leaderEnded reports whether the leader has ended.
 func (m *membership) leaderEnded() bool {
 	select {
 	case <-m.leaderDone:
@@ -187,8 +191,8 @@
 	}
 }
 
-// lead starts a leader for the current generation.
-func (m *membership) lead(ctx context.Context, config *workload.Config) {
+// startLeader starts a leader whose epoch is the current generation of the group.
+func (m *membership) startLeader(ctx context.Context, config *workload.Config) {
 	n := m.node
 	l := leader.New(leader.Options{
 		Epoch: m.generation, Log: n.Log, Hedge: &n.hedge, Follower: n.follower, View: n.view, Workers: n.Workers,
@@ -199,7 +203,7 @@
 	}, config)
 	leaderCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	done := make(chan struct{})
-	m.leader, m.stopLeader, m.leaderDone = l, cancel, done
+	m.leader, m.cancelLeader, m.leaderDone = l, cancel, done
 	n.setLeader(l)
 	go func() {
 		defer close(done)
@@ -207,14 +211,14 @@
 	}()
 }
 
-// endLeader stops the leader, if one runs, and waits until it sends nothing more.
-func (m *membership) endLeader(why string) {
+// stopLeader stops the leader, if there is one, and waits until it has sent its last request.
+func (m *membership) stopLeader(reason string) {
 	if m.leader == nil {
 		return
 	}
-	m.node.Out.Info().Str("reason", why).Msg("schedule given back")
+	m.node.Out.Info().Str("reason", reason).Msg("schedule given back")
 	m.node.setLeader(nil)
-	m.stopLeader()
+	m.cancelLeader()
 	<-m.leaderDone
 	m.leader = nil
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Observe counts an answered request and its latency for the metrics address.
+// Observe records a completed request of a caller and its latency in the metrics.
 func (n *Node) Observe(method string, status int, took time.Duration) {
 	metrics.GetOrRegisterCounter("requests."+method+"."+strconv.Itoa(status), metrics.DefaultRegistry).Inc(1)
 	metrics.GetOrRegisterTimer("requests."+method+".latency", metrics.DefaultRegistry).Update(took)
--- a/node/node.go
+++ b/node/node.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// shutdownReserve is kept of the time between SIGTERM and SIGKILL.
+	// shutdownReserve is subtracted from the time between SIGTERM and SIGKILL, to exit before SIGKILL.
 	shutdownReserve = 1200 * time.Millisecond
-	// balancerReaction is how long the balancer goes on sending connections to a VM that is not ready.
+	// balancerReaction is how long the balancer keeps sending connections to a VM that is not ready.
 	balancerReaction = 3 * time.Second
-	// readyViewAge is the age of the view above which the balancer is told to choose another VM.
+	// readyViewAge is the age of the view above which the VM reports itself as not ready to the balancer.
 	readyViewAge = 5 * time.Second
-	// headerTimeout bounds the reading of a request's header, idleTimeout the pause between two requests.
+	// headerTimeout bounds the reading of a request's header, idleTimeout the time between two requests of a connection.
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 15 * time.Second
 )
 
-// Node is one VM's process.
+// Node is the process of one VM.
 type Node struct {
 	Options
 	config   *configWatch
@@ -44,18 +44,19 @@
 	stopping atomic.Bool
 }
 
-// New returns a node.
+// New returns a node. Run starts it.
 func New(o Options) *Node {
 	n := &Node{Options: o, view: joblog.NewView()}
 	n.writer = joblog.NewWriter(o.Log, &n.hedge)
 	n.follower = joblog.NewFollower(o.Log, n.view, o.Out)
 	n.config = &configWatch{
-		log: o.Log, cursor: store.Cursor{Stream: store.Config}, decoder: o.Decoder, changed: n.configChanged,
+		log: o.Log, cursor: store.Cursor{Stream: store.Config}, decoder: o.Decoder, onChange: n.configChanged,
 		out: o.Out.With().Stringer("stream", store.Config).Logger(),
 	}
 	return n
 }
 
+// configChanged passes a new configuration to the leader, if one runs.
 func (n *Node) configChanged(config *workload.Config) {
 	n.leaderMu.Lock()
 	l := n.leader
@@ -71,11 +72,11 @@
 	n.leader = l
 }
 
-// Stopping reports whether the process is about to end, so that callers' connections are closed after their answers.
+// Stopping reports whether the process is shutting down, so that callers' connections are closed after the next response.
 func (n *Node) Stopping() bool { return n.stopping.Load() }
 
-// Run serves until ctx ends, then shuts down gracefully. callers handles the requests of callers, ready is the path of
-// the balancer's health check.
+// Run serves until ctx ends, then shuts down gracefully. callers handles the requests of callers, readyPath is the path of
+// the balancer's health check. The error is BadInput if an address cannot be listened on, or Internal if a server fails.
 func (n *Node) Run(ctx context.Context, callers http.Handler, readyPath string) error {
 	callerServer := &http.Server{Handler: callers, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	readyMux := http.NewServeMux()
@@ -85,15 +86,15 @@
 	metricsMux.Handle("GET /metrics", telemetry.MetricsHandler())
 	metricsServer := &http.Server{Handler: metricsMux, ReadHeaderTimeout: headerTimeout}
 
-	fail := make(chan error, 3)
-	if err := serve(callerServer, n.Settings.CallerListen, fail); err != nil {
+	failures := make(chan error, 3)
+	if err := serve(callerServer, n.Settings.CallerListen, failures); err != nil {
 		return err
 	}
-	if err := serve(readyServer, n.Settings.ReadyListen, fail); err != nil {
+	if err := serve(readyServer, n.Settings.ReadyListen, failures); err != nil {
 		return err
 	}
 	if address := n.metricsAddress(); address != "" {
-		if err := serve(metricsServer, address, fail); err != nil {
+		if err := serve(metricsServer, address, failures); err != nil {
 			return err
 		}
 	}
@@ -110,7 +111,7 @@
 		m.run(memberCtx)
 	}()
 	select {
-	case err := <-fail:
+	case err := <-failures:
 		return err
 	case <-ctx.Done():
 	}
@@ -118,25 +119,27 @@
 	return nil
 }
 
-// memberName names this incarnation in the group, so that a restarted process is a new member.
+// memberName returns the name of this incarnation in the group, so that a restarted process is a new member.
 func (n *Node) memberName() string {
 	return n.Settings.VM + "-" + strconv.FormatInt(time.Now().UnixMilli(), 36)
 }
 
-func serve(server *http.Server, address string, fail chan<- error) error {
+// serve starts the server at address. A later failure of the server is sent to failures.
+func serve(server *http.Server, address string, failures chan<- error) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return errkind.Wrap(err, errkind.BadInput, "check the listen addresses in the settings", "listen on %s", address)
 	}
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			fail <- errkind.Wrap(err, errkind.Internal, "restart the process", "serve %s", address)
+			failures <- errkind.Wrap(err, errkind.Internal, "restart the process", "serve %s", address)
 		}
 	}()
 	return nil
 }
 
-// metricsAddress returns where metrics are served: on the first internal port.
+// metricsAddress returns the host:port of the metrics server, which uses the first internal port; empty if that or the VM's
+// address is unknown.
 func (n *Node) metricsAddress() string {
 	port := n.Settings.InternalPorts[0]
 	if port == 0 || n.Settings.Address == "" {
@@ -145,7 +148,7 @@
 	return net.JoinHostPort(n.Settings.Address, strconv.Itoa(port))
 }
 
-// serveReady answers the balancer.
+// serveReady responds to the balancer's health check.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !n.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -158,7 +161,7 @@
 	return config != nil && loaded && !n.stopping.Load() && configAge < readyConfigAge && viewAge < readyViewAge
 }
 
-// shutdown gives the schedule back at once and serves callers until the balancer has chosen other VMs.
+// shutdown releases the schedule at once and serves callers until the balancer no longer sends connections.
 func (n *Node) shutdown(callers *http.Server, stopMember context.CancelFunc, memberDone <-chan struct{}) {
 	grace := n.Settings.Bounds.ShutdownGrace - shutdownReserve
 	n.stopping.Store(true)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -25,7 +25,7 @@
 	testID   = workload.JobID("0123456789abcdef")
 )
 
-// testConfig is what the tests keep as a configuration; it is stored as JSON.
+// testConfig is the configuration that the tests store, encoded as JSON.
 type testConfig struct {
 	Version int64
 	Keys    map[string]string
@@ -45,7 +45,7 @@
 	return config, nil
 }
 
-// vm is a node whose readers run against a fake store.
+// vm is a node that reads the configuration and the jobs from a fake store.
 type vm struct {
 	*Node
 	t   *testing.T
@@ -84,7 +84,7 @@
 	}
 }
 
-// access waits until the VM lets the key in.
+// access waits until the VM has loaded its view and accepts the test key.
 func (v *vm) access() Access {
 	v.t.Helper()
 	var access Access
@@ -112,44 +112,45 @@
 	return &workload.Job{ID: testID, Steps: []workload.Step{{Tasks: 1, Demand: resource.Resources{MilliCPU: 1}}}}
 }
 
-func calm(t *testing.T) (*storetest.Fake, *vm) {
+// newConfiguredVM returns a store with a configuration and a VM that uses it.
+func newConfiguredVM(t *testing.T) (*storetest.Fake, *vm) {
 	log := storetest.New()
 	publish(t, log, testConfig{Version: 1, Keys: map[string]string{testKey: "acme"}})
 	return log, newVM(t, log)
 }
 
-// TestAnotherVMKnowsAnAcceptedJob guards against a job that exists only for the VM that accepted it.
+// TestAnotherVMKnowsAnAcceptedJob guards against a job that only the VM that accepted it knows.
 func TestAnotherVMKnowsAnAcceptedJob(t *testing.T) {
-	log, first := calm(t)
+	log, first := newConfiguredVM(t)
 	second := newVM(t, log)
 	if err := first.Submit(t.Context(), first.access(), testJob()); err != nil {
 		t.Fatal(err)
 	}
 	phase, err := second.Phase(t.Context(), second.access(), testID)
 	if err != nil || phase != workload.PhaseQueued {
-		t.Fatalf("the other VM says %v, %v", phase, err)
+		t.Fatalf("the other VM returned %v, %v; want queued", phase, err)
 	}
 	eventually(t, "the other VM counts the job as waiting", func() bool {
 		return second.Waiting(t.Context(), second.access()) == 1
 	})
 }
 
-// TestStaleVMDoesNotDenyAJob guards against a VM without the store that says that a job does not exist: a caller took
-// that for the end of a cancellation, and the job ran on.
+// TestStaleVMDoesNotDenyAJob guards against a VM that cannot reach the store and reports an unknown job as not found: a caller
+// took that for a completed cancellation, and the job continued to run.
 func TestStaleVMDoesNotDenyAJob(t *testing.T) {
-	log, cut := calm(t)
-	access := cut.access()
+	log, stale := newConfiguredVM(t)
+	access := stale.access()
 	log.SetFault(func(string) (error, bool) { return store.ErrUnknown, false })
 	time.Sleep(2 * stateMaxAge)
-	if err := cut.Cancel(t.Context(), access, testID); !errkind.Is(err, errkind.Unavailable) {
-		t.Fatalf("the cancellation gave %v, want unavailable", err)
+	if err := stale.Cancel(t.Context(), access, testID); !errkind.Is(err, errkind.Unavailable) {
+		t.Fatalf("Cancel returned %v, want unavailable", err)
 	}
-	if _, err := cut.Phase(t.Context(), access, testID); !errkind.Is(err, errkind.Unavailable) {
-		t.Fatalf("the state gave %v, want unavailable", err)
+	if _, err := stale.Phase(t.Context(), access, testID); !errkind.Is(err, errkind.Unavailable) {
+		t.Fatalf("Phase returned %v, want unavailable", err)
 	}
 }
 
-// failAppends makes the store execute no append and answer err.
+// failAppends makes the store return err for every append without executing it.
 func failAppends(log *storetest.Fake, err error) {
 	log.SetFault(func(call string) (error, bool) {
 		if call == "append" {
@@ -159,49 +160,51 @@
 	})
 }
 
-// TestUnknownOutcomeIsNoRefusal guards against a refusal of a job that was stored although the store's answer was lost.
+// TestUnknownOutcomeIsNoRefusal guards against a job that is reported as refused although it may be stored, because the
+// store's response was lost.
 func TestUnknownOutcomeIsNoRefusal(t *testing.T) {
-	log, v := calm(t)
+	log, v := newConfiguredVM(t)
 	access := v.access()
 	failAppends(log, store.ErrUnknown)
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	err := v.Submit(ctx, access, testJob())
 	if !errkind.Is(err, errkind.DeadlineExceeded) {
-		t.Fatalf("a submission without an answer of the store gave %v, want deadline exceeded", err)
+		t.Fatalf("a submission without a response of the store returned %v, want deadline exceeded", err)
 	}
 }
 
-// TestRefusedAppendIsARefusal guards against callers that wait for a store that refuses.
-func TestRefusedAppendIsARefusal(t *testing.T) {
-	log, v := calm(t)
+// TestRefusedAppendFailsFast guards against callers that wait until their deadline although the store refuses the append.
+func TestRefusedAppendFailsFast(t *testing.T) {
+	log, v := newConfiguredVM(t)
 	access := v.access()
 	failAppends(log, store.ErrNotDone)
 	startedAt := time.Now()
 	if err := v.Submit(t.Context(), access, testJob()); !errkind.Is(err, errkind.Unavailable) {
-		t.Fatalf("got %v, want unavailable", err)
+		t.Fatalf("Submit returned %v, want unavailable", err)
 	}
 	if took := time.Since(startedAt); took > time.Second {
 		t.Fatalf("the refusal took %v", took)
 	}
 }
 
-// TestRevokedKeyStopsWithoutTheStore guards against a key that works on a VM which cannot learn that it was taken away.
+// TestRevokedKeyStopsWithoutTheStore guards against a revoked key that stays valid on a VM that cannot reach the store and so
+// does not learn of the revocation.
 func TestRevokedKeyStopsWithoutTheStore(t *testing.T) {
-	log, v := calm(t)
+	log, v := newConfiguredVM(t)
 	v.access()
 	log.SetFault(func(string) (error, bool) { return store.ErrUnknown, false })
-	v.Settings.Bounds.KeyRevocation = keyMargin + 300*time.Millisecond
+	v.Settings.Bounds.KeyRevocation = revocationMargin + 300*time.Millisecond
 	eventually(t, "the key is refused", func() bool {
 		_, err := v.Authorize(testHost, testPath, testKey)
 		return errkind.Is(err, errkind.Unavailable)
 	})
 }
 
-// TestConfigurationFollowsAndNeverGoesBack guards against a VM that misses a version, or falls back to an older one, when
-// the history is dropped or an old record shows up late.
+// TestConfigurationFollowsAndNeverGoesBack guards against a VM that misses a version when records expire before it reads
+// them, or that returns to an older version when an old record arrives late.
 func TestConfigurationFollowsAndNeverGoesBack(t *testing.T) {
-	log, v := calm(t)
+	log, v := newConfiguredVM(t)
 	v.access()
 	publish(t, log, testConfig{Version: 5, Keys: map[string]string{"key-2": "acme"}})
 	log.DropHistory(store.Config)
@@ -212,30 +215,31 @@
 	publish(t, log, testConfig{Version: 4, Keys: map[string]string{testKey: "acme"}})
 	time.Sleep(50 * time.Millisecond)
 	if _, err := v.Authorize(testHost, testPath, testKey); !errkind.Is(err, errkind.Unauthenticated) {
-		t.Fatalf("the key of an older version gave %v", err)
+		t.Fatalf("the key of an older version returned %v, want unauthenticated", err)
 	}
 }
 
-// TestOneVMHoldsTheSchedule guards against two VMs that stand for the schedule for good, and against a schedule without
-// holder after its holder has left.
+// TestOneVMHoldsTheSchedule guards against two VMs that take the schedule from each other again and again, and against a
+// schedule that stays vacant after its holder has left.
 func TestOneVMHoldsTheSchedule(t *testing.T) {
-	log, first := calm(t)
+	log, first := newConfiguredVM(t)
 	second := newVM(t, log)
-	stopFirst := takePart(t, first, "a")
-	eventually(t, "the first VM holds the schedule", func() bool { return first.leads() })
-	takePart(t, second, "b")
+	stopFirst := startMembership(t, first, "a")
+	eventually(t, "the first VM holds the schedule", func() bool { return first.holdsSchedule() })
+	startMembership(t, second, "b")
 	time.Sleep(3 * joinInterval)
-	if second.leads() {
-		t.Fatal("the second VM took the schedule from a sound holder")
+	if second.holdsSchedule() {
+		t.Fatal("the second VM took the schedule from a healthy holder")
 	}
 	stopFirst()
-	eventually(t, "the second VM holds the schedule", func() bool { return second.leads() })
-	if first.leads() {
-		t.Fatal("the first VM still leads")
+	eventually(t, "the second VM holds the schedule", func() bool { return second.holdsSchedule() })
+	if first.holdsSchedule() {
+		t.Fatal("the first VM still holds the schedule")
 	}
 }
 
-func takePart(t *testing.T, v *vm, name string) (stop func()) {
+// startMembership runs the membership of v under the given name until stop is called or the test ends.
+func startMembership(t *testing.T, v *vm, name string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	m := &membership{node: v.Node, member: name}
@@ -251,7 +255,7 @@
 	return stop
 }
 
-func (v *vm) leads() bool { return v.heldLeader() != nil }
+func (v *vm) holdsSchedule() bool { return v.heldLeader() != nil }
 
 func (v *vm) heldLeader() *leader.Leader {
 	v.leaderMu.Lock()
@@ -259,25 +263,25 @@
 	return v.leader
 }
 
-// TestForeignJobIsHidden guards against an account that reads or cancels another account's job.
-func TestForeignJobIsHidden(t *testing.T) {
-	_, v := calm(t)
+// TestJobOfOtherAccountIsHidden guards against an account that can read or cancel another account's job.
+func TestJobOfOtherAccountIsHidden(t *testing.T) {
+	_, v := newConfiguredVM(t)
 	access := v.access()
 	if err := v.Submit(t.Context(), access, testJob()); err != nil {
 		t.Fatal(err)
 	}
 	access.Account = "other"
 	if _, err := v.Phase(t.Context(), access, testID); !errkind.Is(err, errkind.NotFound) {
-		t.Fatalf("another account got %v", err)
+		t.Fatalf("Phase for another account returned %v, want not found", err)
 	}
 	if err := v.Cancel(t.Context(), access, testID); !errkind.Is(err, errkind.NotFound) {
-		t.Fatalf("another account's cancellation got %v", err)
+		t.Fatalf("Cancel for another account returned %v, want not found", err)
 	}
 }
 
-// TestRepeatedSubmissionIsOneJob guards against a repeat of an accepted submission that is refused or makes a second job.
+// TestRepeatedSubmissionIsOneJob guards against a repeated submission that is refused or creates a second job.
 func TestRepeatedSubmissionIsOneJob(t *testing.T) {
-	_, v := calm(t)
+	_, v := newConfiguredVM(t)
 	access := v.access()
 	for range 3 {
 		if err := v.Submit(t.Context(), access, testJob()); err != nil {
@@ -287,60 +291,60 @@
 	eventually(t, "one job waits", func() bool { return v.Waiting(t.Context(), access) == 1 })
 }
 
-// cuttable is one VM's way to the store.
-type cuttable struct {
+// partitionedStore is one VM's connection to the store, on which group requests fail while disconnected is set.
+type partitionedStore struct {
 	store.Log
-	cut atomic.Bool
+	disconnected atomic.Bool
 }
 
-func (c *cuttable) err() error {
-	if c.cut.Load() {
+func (c *partitionedStore) err() error {
+	if c.disconnected.Load() {
 		return store.ErrUnknown
 	}
 	return nil
 }
 
-func (c *cuttable) Join(ctx context.Context, group, member string, ttl time.Duration, generation int64) (store.Assignment, error) {
+func (c *partitionedStore) Join(ctx context.Context, group, member string, ttl time.Duration, generation int64) (store.Assignment, error) {
 	if err := c.err(); err != nil {
 		return store.Assignment{}, err
 	}
 	return c.Log.Join(ctx, group, member, ttl, generation)
 }
 
-func (c *cuttable) Holder(ctx context.Context, group string) (string, error) {
+func (c *partitionedStore) Holder(ctx context.Context, group string) (string, error) {
 	if err := c.err(); err != nil {
 		return "", err
 	}
 	return c.Log.Holder(ctx, group)
 }
 
-// TestReturningHolderLeavesTheScheduleAlone guards against a schedule that changes hands twice when a holder that was cut
-// off comes back: its join as a new member took the schedule from its sound successor.
+// TestReturningHolderLeavesTheScheduleAlone guards against a second takeover when a disconnected holder reconnects: it joined
+// as a new member and took the schedule back from its healthy successor.
 func TestReturningHolderLeavesTheScheduleAlone(t *testing.T) {
-	log, first := calm(t)
-	way := &cuttable{Log: log}
-	first.Log = way
+	log, first := newConfiguredVM(t)
+	link := &partitionedStore{Log: log}
+	first.Log = link
 	second := newVM(t, log)
-	takePart(t, first, "a")
-	eventually(t, "the first VM holds the schedule", func() bool { return first.leads() })
-	takePart(t, second, "b")
-	way.cut.Store(true)
-	eventually(t, "the second VM has taken over", func() bool { return second.leads() })
-	way.cut.Store(false)
-	eventually(t, "the first VM has given up", func() bool { return !first.leads() })
+	startMembership(t, first, "a")
+	eventually(t, "the first VM holds the schedule", func() bool { return first.holdsSchedule() })
+	startMembership(t, second, "b")
+	link.disconnected.Store(true)
+	eventually(t, "the second VM has taken over", func() bool { return second.holdsSchedule() })
+	link.disconnected.Store(false)
+	eventually(t, "the first VM has released the schedule", func() bool { return !first.holdsSchedule() })
 	time.Sleep(3 * joinInterval)
-	if !second.leads() || first.leads() {
-		t.Fatalf("after the cut the first VM leads: %v, the second: %v", first.leads(), second.leads())
+	if !second.holdsSchedule() || first.holdsSchedule() {
+		t.Fatalf("after the reconnect the first VM holds the schedule: %v, the second: %v", first.holdsSchedule(), second.holdsSchedule())
 	}
 }
 
-// forgetful is a way to the store on which two of three answers to a member's sign of life is lost.
-type forgetful struct {
+// lossyStore is a connection to the store that loses the responses to two of three joins.
+type lossyStore struct {
 	store.Log
 	joins atomic.Int64
 }
 
-func (f *forgetful) Join(ctx context.Context, group, member string, ttl time.Duration, generation int64) (store.Assignment, error) {
+func (f *lossyStore) Join(ctx context.Context, group, member string, ttl time.Duration, generation int64) (store.Assignment, error) {
 	assignment, err := f.Log.Join(ctx, group, member, ttl, generation)
 	if f.joins.Add(1)%3 == 0 {
 		return assignment, err
@@ -349,20 +353,20 @@
 	return store.Assignment{}, store.ErrUnknown
 }
 
-// TestLostAnswersKeepTheSchedule guards against a schedule that changes hands, and stands still meanwhile, because an
-// answer of the store to its holder is lost: the holder has to learn within the life of its membership that it is kept.
+// TestLostAnswersKeepTheSchedule guards against a takeover, with a pause of the schedule, because responses of the store to
+// the holder are lost: the holder has to get a confirmation before its membership expires.
 func TestLostAnswersKeepTheSchedule(t *testing.T) {
-	log, first := calm(t)
-	way := &forgetful{Log: log}
-	first.Log = way
-	takePart(t, first, "a")
-	eventually(t, "the VM holds the schedule", func() bool { return first.leads() })
-	takePart(t, newVM(t, log), "b")
+	log, first := newConfiguredVM(t)
+	link := &lossyStore{Log: log}
+	first.Log = link
+	startMembership(t, first, "a")
+	eventually(t, "the VM holds the schedule", func() bool { return first.holdsSchedule() })
+	startMembership(t, newVM(t, log), "b")
 	held := first.heldLeader()
 	for range 30 {
 		time.Sleep(100 * time.Millisecond)
 		if first.heldLeader() != held {
-			t.Fatal("the schedule was given up")
+			t.Fatal("the holder released the schedule")
 		}
 	}
 }
--- a/node/options.go
+++ b/node/options.go
@@ -1,9 +1,9 @@
-// Package node runs one VM's process: it accepts callers' requests, follows the configuration and the jobs, takes part
-// in the group that holds the schedule, and leads while it holds it.
+// Package node runs the process of one VM: it serves callers' requests, follows the configuration and the jobs, takes part
+// in the group that decides which VM holds the schedule, and runs a leader while this VM holds it.
 //
-//   - frontend.go: what callers may do, and the answers
+//   - frontend.go: authorization and callers' requests
 //   - configwatch.go: the configuration and its age
-//   - membership.go: who holds the schedule
+//   - membership.go: which VM holds the schedule
 //   - node.go: start and shutdown
 package node
 
@@ -19,14 +19,17 @@
 	"github.com/redwingthread/redwingthread/workload"
 )
 
-// Decoder reads what operators and workers keep in the store.
+// Decoder decodes the records that operators and workers keep in the store.
 type Decoder struct {
-	IsConfig     func(store.Record) bool
-	Config       func([]byte) (*workload.Config, error)
+	// IsConfig reports whether a record of the configuration stream holds a configuration.
+	IsConfig func(store.Record) bool
+	// Config decodes the value of a configuration record.
+	Config func([]byte) (*workload.Config, error)
+	// WorkerRecord decodes the value of a worker's entry.
 	WorkerRecord func(id string, text []byte) (workload.WorkerInfo, error)
 }
 
-// Options of a Node.
+// Options configures a Node.
 type Options struct {
 	Settings *vmsettings.Settings
 	Log      store.Log
@@ -40,9 +43,9 @@
 }
 
 const (
-	// keyMargin is taken off the revocation bound for the time between a check and its effect.
-	keyMargin = 500 * time.Millisecond
-	// readyConfigAge is the age of the configuration above which the store counts as out of reach: the balancer is told to
-	// choose another VM, and callers are sent there.
+	// revocationMargin is subtracted from the revocation bound for the time between a check and its effect.
+	revocationMargin = 500 * time.Millisecond
+	// readyConfigAge is the age of the configuration above which the store counts as unreachable: the VM reports itself as
+	// not ready to the balancer and refers callers to other VMs.
 	readyConfigAge = 1900 * time.Millisecond
 )
