--- a/vmsettings/settings.go
+++ b/vmsettings/settings.go
@@ -1,23 +1,23 @@
-// Package vmsettings holds the checked settings of a VM's process, whatever file they were read from.
+// Package vmsettings holds the validated settings of a VM's process, independent of the format of the settings file.
 package vmsettings
 
 import "time"
 
-// Settings of one process.
+// Settings holds the settings of one process.
 type Settings struct {
-	// VM is the VM's name, FailureDomain where it stands.
+	// VM is the name of the VM, FailureDomain the failure domain that it is in.
 	VM            string
 	FailureDomain string
 	// Address is the VM's IP address.
 	Address string
-	// CallerListen and ReadyListen are the host:port for callers and for the balancer's health check.
+	// CallerListen and ReadyListen are the host:port to listen on for callers and for the balancer's health check.
 	CallerListen string
 	ReadyListen  string
-	// InternalPorts are the first and the last port that the process may use for other purposes; zero if unknown.
+	// InternalPorts holds the first and the last port that the process may use for other purposes; zero if unknown.
 	InternalPorts [2]int
-	// CPUShare is the part of a core that the process may use.
+	// CPUShare is the share of a core that the process may use.
 	CPUShare float64
-	// MemoryMB is the memory above which the process is killed.
+	// MemoryMB is the memory in MB above which the process is killed.
 	MemoryMB int64
 	// StoreAddress is the host:port of the metadata store.
 	StoreAddress string
@@ -25,26 +25,27 @@
 	Bounds       Bounds
 }
 
-// Store are the limits of the metadata store.
+// Store holds the limits of the metadata store.
 type Store struct {
+	// MaxRecordBytes is the maximum size of a record.
 	MaxRecordBytes int
-	// MinGroupTTL is the shortest time for which a group keeps a silent member.
+	// MinGroupTTL is the shortest time for which a group keeps a member that does not renew its membership.
 	MinGroupTTL time.Duration
 }
 
-// Bounds are the time bounds of the deployment.
+// Bounds holds the time bounds of the deployment.
 type Bounds struct {
 	// ShutdownGrace is the time between SIGTERM and SIGKILL.
 	ShutdownGrace time.Duration
-	// KeyRevocation is how soon a key that was taken away must stop working.
+	// KeyRevocation is the time within which a revoked key must stop working.
 	KeyRevocation time.Duration
-	// StrictRevocation reports whether KeyRevocation holds for VMs without a path to the store, too.
+	// StrictRevocation is true if KeyRevocation also applies on VMs that cannot reach the store.
 	StrictRevocation bool
-	// HeartbeatInterval is the time between two entries of a worker in the list.
+	// HeartbeatInterval is the time between two updates of a worker's entry in the list.
 	HeartbeatInterval time.Duration
 	// MaxLease is the longest lease that workers grant.
 	MaxLease time.Duration
-	// StopTimeout bounds the time between a stop and the end of the run.
+	// StopTimeout bounds the time between a stop request and the end of the run.
 	StopTimeout time.Duration
 	// StatusRetention is how long the state of an ended job must be readable.
 	StatusRetention time.Duration
