--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,5 +1,5 @@
-// Package boottime reads a clock that never goes back and that, unlike Go's monotonic clock, goes on while the VM is
-// suspended. Ages of what was read from others are measured with it.
+// Package boottime provides a monotonic clock that, unlike Go's, includes the time while the VM is suspended. It measures
+// the age of data that was read from other processes.
 package boottime
 
 import (
--- a/boottime/boottime_linux.go
+++ b/boottime/boottime_linux.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since some fixed point in the past.
+// Now returns the time since boot, including suspension. Only differences between two readings on the same VM are meaningful.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
