--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -8,47 +8,50 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// Planner is the interface of the core towards the shell that carries out its plans.
+// Planner is the interface between the placement core and the caller that carries out its plans.
 type Planner interface {
-	// SetConfig replaces the workers, client accounts and policy. The core keeps doc and does not change it.
+	// SetConfig replaces the workers, client accounts and policy. The core keeps a reference to doc and does not modify
+	// it.
 	SetConfig(doc *config.Document, now time.Time)
-	// SetWorkerHealth reports the health of a worker; a worker without a report counts as HealthUnreachable.
+	// SetWorkerHealth records the health of a worker. A worker that was never reported counts as HealthUnreachable.
 	SetWorkerHealth(worker string, health Health, now time.Time)
-	// Submit adds a waiting job. A malformed job gives a BadInput error, one of an unknown account NotFound, and one that
-	// no configuration of the failure domain's workers could hold Infeasible. Before SetConfig only the shape is checked.
-	// An id that is already known changes nothing. The failure domain of the job is the caller's business.
+	// Submit adds a waiting job. It returns a BadInput error for a malformed job, NotFound for an unknown account, and
+	// Infeasible for a job that the configured workers of the failure domain could not hold even if they were all empty
+	// and healthy, or that exceeds the quota of its account. Before the first SetConfig only the shape is validated.
+	// Submitting a known id again has no effect. The caller must submit a job only to the core of the job's failure
+	// domain.
 	Submit(job jobs.Job, now time.Time) error
-	// Adopt adds a job that a previous holder of the failure domain placed.
+	// Adopt adds a job that a previous active scheduler of the failure domain placed.
 	Adopt(job jobs.Job, attempt uint64, placement Placement, state jobs.State, now time.Time)
-	// Started reports that all members of the attempt run.
+	// Started records that all members of the attempt are running.
 	Started(job string, attempt uint64, now time.Time)
-	// Ended reports that no member of the attempt uses resources any more.
+	// Ended records that no member of the attempt uses resources any longer.
 	Ended(job string, attempt uint64, result Result, now time.Time)
-	// Cancel removes a waiting job or plans the stop of a placed one. It reports whether the job is known.
+	// Cancel removes a waiting job, or plans the stop of a placed one. It reports whether the job is known.
 	Cancel(job string, now time.Time) bool
-	// Plan returns the starts and stops due now. The core counts their effects as under way from then on.
+	// Plan returns the starts and stops that are due now. From then on the core accounts for them as in progress.
 	Plan(now time.Time) Plan
-	// Why returns one line that says what the job waits for, or its state.
+	// Why returns a one-line explanation of what a waiting job waits for, or the state of any other job.
 	Why(job string, now time.Time) string
-	// Status returns the state of one job.
+	// Status returns the state of one job. The result is false if the job is not known.
 	Status(job string) (jobs.Status, bool)
-	// List returns the state of all jobs that have not been removed, in order of submission.
+	// List returns the state of all known jobs in order of submission. The oldest ended jobs are dropped in time.
 	List() []jobs.Status
-	// Conditions returns what operators should know of the failure domain.
+	// Conditions returns the conditions of the failure domain that operators should know of.
 	Conditions() Conditions
 }
 
-// Health is what the shell knows about a worker.
+// Health is the caller's view of a worker.
 type Health string
 
 // The health values.
 const (
 	HealthUp Health = "up"
-	// HealthUnreachable marks a worker that may still run its tasks. Nothing is placed there.
+	// HealthUnreachable marks a worker that may still run its tasks. Nothing new is placed there.
 	HealthUnreachable Health = "unreachable"
-	// HealthLeaving marks a worker to be emptied by checkpoint and stop.
+	// HealthLeaving marks a worker that must be drained: its jobs save their progress if they can, and stop.
 	HealthLeaving Health = "leaving"
-	// HealthGone marks a worker whose leases must have lapsed: its tasks do not run any more.
+	// HealthGone marks a worker whose leases have certainly expired, so its tasks no longer run.
 	HealthGone Health = "gone"
 )
 
@@ -61,46 +64,49 @@
 // The result kinds.
 const (
 	ResultCompleted ResultKind = "completed"
-	// ResultFailed marks a task that failed by itself; Workers names where.
+	// ResultFailed marks an attempt in which a task failed; Workers names the workers on which it failed.
 	ResultFailed ResultKind = "failed"
-	// ResultStopped marks a planned stop; the job waits again unless it was cancelled.
+	// ResultStopped marks a planned stop. The job waits again unless it was cancelled, or is a run-once job that saved
+	// no progress.
 	ResultStopped ResultKind = "stopped"
-	// ResultLost marks an attempt that ended because workers were lost; the job waits again unless it may run once.
+	// ResultLost marks an attempt that ended because workers were lost. The job waits again unless it is a run-once
+	// job.
 	ResultLost ResultKind = "lost"
-	// ResultNotStarted marks an attempt that never ran; Workers names those that refused it.
+	// ResultNotStarted marks an attempt that never ran; Workers names the workers that refused it.
 	ResultNotStarted ResultKind = "not_started"
-	// ResultUnknown marks a run-once job that may have run.
+	// ResultUnknown marks an attempt of a run-once job that may have run.
 	ResultUnknown ResultKind = "unknown"
 )
 
-// Result is how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
 	Kind ResultKind
 	// Workers names the workers that caused a failure, a loss or a refusal.
 	Workers []string
-	// Detail is the reason for operators.
+	// Detail is the reason that operators are shown.
 	Detail string
 	// Checkpointed reports whether progress was saved.
 	Checkpointed bool
 }
 
-// Plan is what the shell has to do now.
+// Plan lists the actions that the caller must carry out now.
 type Plan struct {
 	Stops  []Stop
 	Starts []Start
-	// Condemned lists jobs that the core ended for good, such as jobs that failed on several workers.
+	// Condemned lists jobs that the core failed permanently, such as jobs that failed on several workers.
 	Condemned []Condemned
-	// NextCheck is the time at which Plan must be called again without an event; zero if there is none.
+	// NextCheck is the time at which Plan must be called even if no event arrives; zero if there is none.
 	NextCheck time.Time
 }
 
-// Start asks the shell to run a job on a placement.
+// Start asks the caller to run a job on a placement.
 type Start struct {
 	Job jobs.Job
-	// Attempt counts from 1 in each Core, so the shell must tell the attempts of different holders apart.
+	// Attempt counts from 1 in each Core, so the caller must distinguish the attempts of different schedulers of the
+	// failure domain.
 	Attempt   uint64
 	Placement Placement
-	// Borrowed reports whether any member runs on capacity bound to another account's guarantee.
+	// Borrowed reports whether any member runs on capacity that is bound to an unclaimed guarantee.
 	Borrowed bool
 }
 
@@ -113,13 +119,13 @@
 	StopReservation StopReason = "reservation"
 	StopCancelled   StopReason = "cancelled"
 	StopDrain       StopReason = "drain"
-	// StopLost stops the other members of a gang that lost one.
+	// StopLost stops the remaining members of a gang that lost one.
 	StopLost StopReason = "lost"
-	// StopConsolidate moves a job that saves its progress, so that free accelerators become adjacent.
+	// StopConsolidate stops a job in order to move it, so that free accelerators become adjacent.
 	StopConsolidate StopReason = "consolidate"
 )
 
-// Stop asks the shell to stop an attempt.
+// Stop asks the caller to stop an attempt.
 type Stop struct {
 	Job     string
 	Attempt uint64
@@ -129,16 +135,17 @@
 	CheckpointBound time.Duration
 }
 
-// Condemned is a job that never runs again.
+// Condemned is a job that failed permanently and is not started again.
 type Condemned struct {
 	Job    string
 	Detail string
 }
 
-// Usage is the use of resources by one account in the failure domain.
+// Usage is the resource usage of one account in the failure domain.
 type Usage struct {
 	Account string
 	Used    resource.Resources
-	// Borrowed is the part of Used outside the account's own guarantees, on unbound capacity or another account's.
+	// Borrowed is the part of Used by jobs that run outside the account's own guarantees, on unbound capacity or on
+	// capacity bound to a guarantee.
 	Borrowed resource.Resources
 }
--- a/scheduler/binding.go
+++ b/scheduler/binding.go
@@ -7,16 +7,17 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// findBinding returns a place for an unbound cell among the healthy workers, nil if there is none. What runs there on
-// loan does not matter; among equal places, one with free capacity is preferred.
+// findBinding returns healthy workers to which an unbound cell can be bound, nil if there are none. Stoppable work that
+// already runs there is ignored, since a claim can stop it; among workers of equal cost, those with free capacity are
+// preferred.
 func (c *Core) findBinding(cl *cell) []*worker {
 	s := cl.shape
 	var best []*worker
 	var bestCost float64
-	try := func(workers []*worker, perWorker bool) {
-		place, cost := bindWithin(s, workers, perWorker)
-		if place != nil && (best == nil || cost < bestCost) {
-			best, bestCost = place, cost
+	try := func(workers []*worker, singleWorker bool) {
+		binding, cost := bindWithin(s, workers, singleWorker)
+		if binding != nil && (best == nil || cost < bestCost) {
+			best, bestCost = binding, cost
 		}
 	}
 	switch {
@@ -25,8 +26,8 @@
 			try(c.ordered[i:i+1], true)
 		}
 	case s.Adjacency == resource.AdjacencyRack:
-		for _, k := range c.racks {
-			try(k.workers, false)
+		for _, rk := range c.racks {
+			try(rk.workers, false)
 		}
 	default:
 		try(c.ordered, false)
@@ -34,18 +35,18 @@
 	return best
 }
 
-// bindWithin places a shape on the given workers, fullest first. The cost is the entitled capacity left over, with a
-// small part for work that a claim would stop.
-func bindWithin(s resource.Shape, workers []*worker, single bool) ([]*worker, float64) {
+// bindWithin places a shape on the given workers, starting with those that have the least bindable capacity left. The
+// cost is the bindable capacity left over, plus a small surcharge where a claim would have to stop work.
+func bindWithin(s resource.Shape, workers []*worker, singleWorker bool) ([]*worker, float64) {
 	var found []candidate
 	left := 0
 	for _, w := range workers {
 		if !w.eligible() {
 			continue
 		}
-		room := w.entitled(nil)
+		room := w.bindable(nil)
 		n := fitCount(s.PerMember, room)
-		if n == 0 || single && n < s.Members {
+		if n == 0 || singleWorker && n < s.Members {
 			continue
 		}
 		left += max(room.Accelerators, n)
@@ -58,81 +59,83 @@
 		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.worker.index, b.worker.index))
 	})
 	cost := float64(left)
-	if single {
+	if singleWorker {
 		cost = found[0].score
 	}
 	return fill(found, s.Members), cost
 }
 
-// bindingCost prefers workers that the binding fills and that are free now.
+// bindingCost prefers workers that the binding fills and that have enough free capacity now.
 func bindingCost(w *worker, room, need resource.Resources) float64 {
-	cost := float64(room.Accelerators-need.Accelerators) + fractionLeft(room.Sub(need), w.capacity)
+	cost := float64(room.Accelerators-need.Accelerators) + freeShare(room.Sub(need), w.capacity)
 	if !need.Fits(w.free()) {
 		cost += 0.1
 	}
 	return cost
 }
 
-// repackAttempts bounds the orders in which all unclaimed cells are bound anew. Packing is NP-hard; rotating the cells
-// that failed to the front finds a packing in the cases that validation accepts, at a bounded cost.
+// repackAttempts bounds the number of orders in which all unclaimed cells are bound again. Packing is NP-hard; moving
+// the cells that found no workers to the front of the order finds a packing in the cases that validation accepts, at a
+// bounded cost.
 const repackAttempts = 16
 
-// repack binds all unclaimed cells anew when some found no room, and keeps the best result.
+// repack binds all unclaimed cells again when some could not be bound, and keeps the result with the fewest unbound
+// cells.
 func (c *Core) repack() {
-	loose := slices.DeleteFunc(c.bySize(), func(cl *cell) bool { return cl.claim != nil })
-	best := bindings(loose)
-	bestMissing := countMissing(loose)
+	unclaimed := slices.DeleteFunc(c.cellsByDifficulty(), func(cl *cell) bool { return cl.claim != nil })
+	best := bindings(unclaimed)
+	fewestUnbound := countUnbound(unclaimed)
 	for range repackAttempts {
-		for _, cl := range loose {
+		for _, cl := range unclaimed {
 			c.unbind(cl)
 		}
 		var failed []*cell
-		for _, cl := range loose {
-			place := c.findBinding(cl)
-			if place == nil {
+		for _, cl := range unclaimed {
+			binding := c.findBinding(cl)
+			if binding == nil {
 				failed = append(failed, cl)
 				continue
 			}
-			c.bind(cl, place)
+			c.bind(cl, binding)
 		}
-		if len(failed) < bestMissing {
-			best, bestMissing = bindings(loose), len(failed)
+		if len(failed) < fewestUnbound {
+			best, fewestUnbound = bindings(unclaimed), len(failed)
 		}
 		if len(failed) == 0 {
 			return
 		}
-		loose = moveToFront(loose, failed)
+		unclaimed = moveToFront(unclaimed, failed)
 	}
-	for _, cl := range loose {
+	for _, cl := range unclaimed {
 		c.unbind(cl)
 	}
-	for _, cl := range loose {
-		if place := best[cl]; place != nil {
-			c.bind(cl, place)
+	for _, cl := range unclaimed {
+		if binding := best[cl]; binding != nil {
+			c.bind(cl, binding)
 		}
 	}
 }
 
-// bindings returns the present places of the cells.
+// bindings returns the current workers of the cells.
 func bindings(cells []*cell) map[*cell][]*worker {
-	places := make(map[*cell][]*worker, len(cells))
+	byCell := make(map[*cell][]*worker, len(cells))
 	for _, cl := range cells {
-		places[cl] = cl.place
+		byCell[cl] = cl.workers
 	}
-	return places
+	return byCell
 }
 
-func countMissing(cells []*cell) int {
+func countUnbound(cells []*cell) int {
 	n := 0
 	for _, cl := range cells {
-		if cl.place == nil {
+		if cl.workers == nil {
 			n++
 		}
 	}
 	return n
 }
 
-// moveToFront returns the cells with those of front first.
+// moveToFront returns the cells with those in front first.
 func moveToFront(cells, front []*cell) []*cell {
 	moved := slices.Clone(front)
 	for _, cl := range cells {
@@ -144,43 +147,43 @@
 }
 
 // startByDisplacing starts unstoppable work on free capacity that unclaimed cells are bound to, if these cells can be
-// bound elsewhere. What runs there on loan does not matter, so the move loses nothing.
+// bound elsewhere. Moving an unclaimed binding stops no work, since borrowed work is ignored when a cell is bound.
 func (c *Core) startByDisplacing(j *job) bool {
 	key := shapeKey{shape: j.Shape, runOnce: j.RunOnce, displacing: true}
-	if j.class.key.solo != "" || c.blocked[key] >= c.seq {
+	if j.class.key.solo != "" || c.failedSearches[key] >= c.seq {
 		return false
 	}
-	place := c.find(&request{job: j, shape: j.Shape})
-	if place == nil || !usableBy(j, place) || !c.displace(j, place) {
-		c.blocked[key] = c.seq
+	placement := c.findPlacement(&placementRequest{job: j, shape: j.Shape})
+	if placement == nil || !usableBy(j, placement) || !c.displace(j, placement) {
+		c.failedSearches[key] = c.seq
 		return false
 	}
-	c.start(j, place)
+	c.start(j, placement)
 	return true
 }
 
-// displace binds the unclaimed cells elsewhere that leave no room for unstoppable work on the place. It reports whether
-// all found room; if not, nothing is changed.
-func (c *Core) displace(j *job, place []*worker) bool {
+// displace moves the unclaimed cells whose bindings leave too little capacity for unstoppable work on the given
+// workers. It reports whether all of them could be bound elsewhere; if not, it restores the previous bindings.
+func (c *Core) displace(j *job, workers []*worker) bool {
 	var moved []*cell
 	var from [][]*worker
-	reserve := func(sign int) {
-		forEachWorker(place, func(w *worker, n int) { w.hard = w.hard.Add(j.Shape.PerMember.Times(sign * n)) })
+	addUnstoppable := func(sign int) {
+		forEachWorker(workers, func(w *worker, n int) { w.unstoppable = w.unstoppable.Add(j.Shape.PerMember.Times(sign * n)) })
 	}
-	reserve(1)
-	forEachWorker(place, func(w *worker, _ int) {
-		for !w.bound.Add(w.hard).Fits(w.capacity) {
+	addUnstoppable(1)
+	forEachWorker(workers, func(w *worker, _ int) {
+		for !w.bound.Add(w.unstoppable).Fits(w.capacity) {
 			i := slices.IndexFunc(w.cells, func(cl *cell) bool { return cl.claim == nil })
 			if i < 0 {
 				return
 			}
 			cl := w.cells[i]
-			moved, from = append(moved, cl), append(from, cl.place)
+			moved, from = append(moved, cl), append(from, cl.workers)
 			c.unbind(cl)
 		}
 	})
 	ok := true
-	forEachWorker(place, func(w *worker, _ int) { ok = ok && w.bound.Add(w.hard).Fits(w.capacity) })
+	forEachWorker(workers, func(w *worker, _ int) { ok = ok && w.bound.Add(w.unstoppable).Fits(w.capacity) })
 	for _, cl := range moved {
 		if to := c.findBinding(cl); ok && to != nil {
 			c.bind(cl, to)
@@ -188,7 +191,7 @@
 			ok = false
 		}
 	}
-	reserve(-1)
+	addUnstoppable(-1)
 	if ok {
 		return true
 	}
--- a/scheduler/check_test.go
+++ b/scheduler/check_test.go
@@ -183,10 +183,10 @@
 		}
 	}
 	for _, w := range k.core.ordered {
-		if w.conduct.phase != phaseTrusted {
+		if w.standing.phase != phaseTrusted {
 			delete(k.failing, w.id)
 		}
-		if w.conduct.phase != phaseTrusted && !k.broken(w.id) && k.d.now.Before(k.badBurstUntil) {
+		if w.standing.phase != phaseTrusted && !k.broken(w.id) && k.d.now.Before(k.badBurstUntil) {
 			k.violate("healthy worker %s mistaken for a bad one", w.id)
 		}
 	}
@@ -199,7 +199,7 @@
 func (k *checker) suspended() int {
 	n := 0
 	for _, w := range k.core.ordered {
-		if w.conduct.phase != phaseTrusted {
+		if w.standing.phase != phaseTrusted {
 			n++
 		}
 	}
@@ -219,7 +219,7 @@
 	}
 	for _, cl := range k.core.cells {
 		have++
-		if cl.place == nil {
+		if cl.workers == nil {
 			missing++
 			continue
 		}
@@ -250,15 +250,15 @@
 }
 
 func (k *checker) checkCell(cl *cell, promised map[string]resource.Resources) {
-	if len(cl.place) != cl.shape.Members {
-		k.violate("P1 witness: cell of %s has %d of %d members", cl.account.name, len(cl.place), cl.shape.Members)
+	if len(cl.workers) != cl.shape.Members {
+		k.violate("P1 witness: cell of %s has %d of %d members", cl.account.name, len(cl.workers), cl.shape.Members)
 	}
-	for _, w := range cl.place {
+	for _, w := range cl.workers {
 		if !k.usable(w.id) {
 			k.violate("P1 witness: cell of %s on worker %s that is %s", cl.account.name, w.id, k.health[w.id])
 		}
-		if cl.shape.Adjacency == resource.AdjacencyWorker && w != cl.place[0] ||
-			cl.shape.Adjacency == resource.AdjacencyRack && w.rack != cl.place[0].rack {
+		if cl.shape.Adjacency == resource.AdjacencyWorker && w != cl.workers[0] ||
+			cl.shape.Adjacency == resource.AdjacencyRack && w.rack != cl.workers[0].rack {
 			k.violate("P1 witness: cell of %s is not adjacent", cl.account.name)
 		}
 		promised[w.id] = promised[w.id].Add(cl.shape.PerMember)
@@ -266,7 +266,7 @@
 	if cl.claim == nil {
 		return
 	}
-	if t := k.d.tasks[cl.claim.ID]; t.placement != nil && !slices.ContainsFunc(cl.place, func(w *worker) bool {
+	if t := k.d.tasks[cl.claim.ID]; t.placement != nil && !slices.ContainsFunc(cl.workers, func(w *worker) bool {
 		return w.id == t.placement[0]
 	}) {
 		k.violate("P1 witness: claim %s runs outside its cell", t.ID)
@@ -313,7 +313,7 @@
 	for _, t := range k.d.live {
 		n := t.Shape.Total().Accelerators
 		quota := k.doc.Accounts[t.Account].Quota
-		if t.placement != nil || t.Shape.Members == 1 || n == 0 || !k.core.holdsUnbound(t.Shape) ||
+		if t.placement != nil || t.Shape.Members == 1 || n == 0 || !k.core.fitsUnboundCapacity(t.Shape) ||
 			quota > 0 && k.accelerators(t.Account)+n > quota {
 			delete(k.blocked, t.ID)
 			continue
--- a/scheduler/conditions.go
+++ b/scheduler/conditions.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Conditions are the states of a failure domain that an operator should know of. They are as of the last Plan.
+// Conditions describes the states of a failure domain that an operator should know of, as of the last Plan.
 type Conditions struct {
-	// Quarantined lists the workers on which several different jobs failed, in order of rack and id.
+	// Quarantined lists the workers that were quarantined because several different jobs failed there, ordered by rack
+	// and id.
 	Quarantined []QuarantinedWorker
-	// Degraded lists the guarantees that the healthy capacity does not hold.
+	// Degraded lists the guarantees that do not fit the healthy capacity.
 	Degraded []DegradedGuarantee
 }
 
-// QuarantinedWorker is a worker that gets no job until Until, when it gets one trial job.
+// QuarantinedWorker is a worker that gets no job before Until; after that it gets one trial job.
 type QuarantinedWorker struct {
 	Worker string
 	Until  time.Time
@@ -23,8 +24,8 @@
 		return conditions
 	}
 	for _, w := range c.ordered {
-		if w.conduct.phase == phaseQuarantined {
-			conditions.Quarantined = append(conditions.Quarantined, QuarantinedWorker{w.id, w.conduct.until})
+		if w.standing.phase == phaseQuarantined {
+			conditions.Quarantined = append(conditions.Quarantined, QuarantinedWorker{w.id, w.standing.until})
 		}
 	}
 	return conditions
--- a/scheduler/consolidate.go
+++ b/scheduler/consolidate.go
@@ -5,77 +5,79 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// The limits of consolidation.
+// Limits of consolidation. Those named Waits are multiples of policy.max_wait_ms.
 const (
-	// consolidateWaits is the number of policy.max_wait_ms between two consolidations, and moveWaits that between two
-	// moves of one job.
-	consolidateWaits = 0.5
-	moveWaits        = 4
-	// consolidateLossShare is the share of the standard large shape's accelerator time over policy.max_wait_ms that one
-	// consolidation may lose at full weight on fragmentation.
-	consolidateLossShare = 1.0
+	// consolidationIntervalWaits is the time between two consolidations, and moveIntervalWaits that between two moves
+	// of one job.
+	consolidationIntervalWaits = 0.5
+	moveIntervalWaits          = 4
+	// consolidationLossShare limits the work that one consolidation may lose, at full fragmentation weight, as a share
+	// of the accelerator time of the standard large shape over policy.max_wait_ms.
+	consolidationLossShare = 1.0
 )
 
-// consolidate frees room for one more standard large shape by moving jobs that save their progress, or have little to
-// lose, into scattered free capacity. It runs only with weight on fragmentation, and only if all moved jobs have room elsewhere at once.
+// consolidate frees capacity for one more standard large shape by moving jobs that can save their progress, or that
+// have little to lose, into scattered free capacity. It runs only if the policy weighs fragmentation, and moves jobs
+// only if all of them fit elsewhere at once.
 func (c *Core) consolidate() {
 	standard := c.policy.StandardLargeShape
-	if c.weight() == 0 || standard.Members == 0 || c.options.noConsolidation || c.now.Before(c.nextConsolidation) {
+	if c.fragmentationWeight() == 0 || standard.Members == 0 || c.options.noConsolidation || c.now.Before(c.nextConsolidation) {
 		return
 	}
-	if c.recheck || c.reviewedIn == c.plans {
-		// This plan has searched enough; the next one follows soon.
+	if c.recheck || c.reviewedPlan == c.planCount {
+		// Bounds the time of one plan; the next plan follows soon.
 		return
 	}
-	c.nextConsolidation = c.now.Add(c.waits(consolidateWaits))
-	phantom := &job{Job: jobs.Job{Shape: standard, CanCheckpoint: true}}
-	var taken [][]*worker
-	for c.scattered() >= standard.Total().Accelerators {
-		place := c.find(&request{job: phantom, shape: standard})
-		if place == nil {
-			c.moveAway(phantom)
+	c.nextConsolidation = c.now.Add(c.maxWaits(consolidationIntervalWaits))
+	standardJob := &job{Job: jobs.Job{Shape: standard, CanCheckpoint: true}}
+	var placements [][]*worker
+	for c.freeAccelerators() >= standard.Total().Accelerators {
+		placement := c.findPlacement(&placementRequest{job: standardJob, shape: standard})
+		if placement == nil {
+			c.stopForConsolidation(standardJob)
 			break
 		}
-		taken = append(taken, place)
-		setAside(place, standard.PerMember, 1)
+		placements = append(placements, placement)
+		addHeld(placement, standard.PerMember, 1)
 	}
-	for _, place := range taken {
-		setAside(place, standard.PerMember, -1)
+	for _, placement := range placements {
+		addHeld(placement, standard.PerMember, -1)
 	}
 }
 
-// scattered counts the free accelerators of healthy workers.
-func (c *Core) scattered() int {
+// freeAccelerators counts the free accelerators of healthy workers that are not quarantined.
+func (c *Core) freeAccelerators() int {
 	n := 0
-	for _, k := range c.racks {
-		k.refresh()
-		n += k.total
+	for _, rk := range c.racks {
+		rk.refresh()
+		n += rk.total
 	}
 	return n
 }
 
-// setAside counts a placement as held, or gives it back with sign -1.
-func setAside(place []*worker, per resource.Resources, sign int) {
-	for _, w := range place {
+// addHeld adds the members of a placement to the held capacity of their workers, or removes them if sign is -1.
+func addHeld(placement []*worker, per resource.Resources, sign int) {
+	for _, w := range placement {
 		w.held = w.held.Add(per.Times(sign))
 		w.rack.stale = true
 	}
 }
 
-// moveAway stops the movable jobs in the place of least loss for the phantom, if they all fit elsewhere.
-func (c *Core) moveAway(phantom *job) {
-	e := &eviction{core: c, job: phantom, moving: true}
-	place, cost := e.find()
-	most := c.weight() * consolidateLossShare * c.weightOf(phantom) * c.maxWait().Seconds()
-	if place == nil || cost > most {
+// stopForConsolidation finds the placement for the standard large shape that loses the least work, and stops the jobs
+// there if the loss is within the limit and they all fit elsewhere.
+func (c *Core) stopForConsolidation(standardJob *job) {
+	p := &preemption{core: c, job: standardJob, moving: true}
+	placement, cost := p.findPlacement()
+	maxLoss := c.fragmentationWeight() * consolidationLossShare * c.acceleratorWeight(standardJob) * c.maxWait().Seconds()
+	if placement == nil || cost > maxLoss {
 		return
 	}
-	per := phantom.Shape.PerMember
+	per := standardJob.Shape.PerMember
 	var victims []*job
-	forEachWorker(place, func(w *worker, n int) {
-		victims = append(victims, e.victimsOn(w, per.Times(n))...)
+	forEachWorker(placement, func(w *worker, n int) {
+		victims = append(victims, p.victimsOn(w, per.Times(n))...)
 	})
-	if !c.fitElsewhere(victims, place, per) {
+	if !c.canRelocate(victims, placement, per) {
 		return
 	}
 	for _, v := range victims {
@@ -84,37 +86,37 @@
 	}
 }
 
-// fitElsewhere reports whether all jobs find free capacity at once outside the place.
-func (c *Core) fitElsewhere(victims []*job, place []*worker, per resource.Resources) bool {
+// canRelocate reports whether all victims fit at once into free capacity outside the placement.
+func (c *Core) canRelocate(victims []*job, placement []*worker, per resource.Resources) bool {
 	type move struct {
-		place []*worker
-		per   resource.Resources
+		placement []*worker
+		per       resource.Resources
 	}
 	var moves []move
-	forEachWorker(place, func(w *worker, n int) {
+	forEachWorker(placement, func(w *worker, n int) {
 		moves = append(moves, move{[]*worker{w}, w.free().Sub(w.reserved)})
 	})
 	for _, m := range moves {
-		setAside(m.place, m.per, 1)
+		addHeld(m.placement, m.per, 1)
 	}
 	ok := true
 	for _, v := range victims {
-		to := c.find(c.request(v))
+		to := c.findPlacement(c.placementRequest(v))
 		if to == nil {
 			ok = false
 			break
 		}
-		setAside(to, v.Shape.PerMember, 1)
+		addHeld(to, v.Shape.PerMember, 1)
 		moves = append(moves, move{to, v.Shape.PerMember})
 	}
 	for _, m := range moves {
-		setAside(m.place, m.per, -1)
+		addHeld(m.placement, m.per, -1)
 	}
 	return ok
 }
 
-// movable reports whether a consolidation may move v.
-func (c *Core) movable(v *job) bool {
-	return !v.hard() && v.cell == nil && !v.Urgent && v.state == jobs.StateRunning &&
-		(v.movedAt.IsZero() || c.now.Sub(v.movedAt) >= c.waits(moveWaits))
+// mayMove reports whether consolidation may move v.
+func (c *Core) mayMove(v *job) bool {
+	return !v.unstoppable() && v.cell == nil && !v.Urgent && v.state == jobs.StateRunning &&
+		(v.movedAt.IsZero() || c.now.Sub(v.movedAt) >= c.maxWaits(moveIntervalWaits))
 }
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -18,9 +18,9 @@
 	options       options
 	policy        config.Policy
 	configured    bool
-	// now is the latest time that a call gave.
+	// now is the latest time passed to any call.
 	now time.Time
-	// seq numbers changes that free capacity; submissions numbers jobs.
+	// seq numbers the changes that free capacity; submissions numbers the jobs.
 	seq, submissions uint64
 
 	workers map[string]*worker
@@ -29,78 +29,80 @@
 	racks   []*rack
 	// largestRack is the number of accelerators of the largest rack.
 	largestRack int
-	// nowhere is the rack of workers that are not configured.
-	nowhere *rack
+	// noRack is the rack of workers that are not configured.
+	noRack *rack
 
 	accounts map[string]*account
 	// cells lists all cells, by account and guarantee.
 	cells []*cell
-	// bindingStale asks for a repair of the bindings; retryBinding only while guarantees are degraded.
+	// bindingStale asks for a repair of the bindings; retryBinding does so only while guarantees are degraded.
 	bindingStale, retryBinding, boundOnce bool
-	missingCells                          int
+	unboundCells                          int
 
 	jobs map[string]*job
-	// listed holds all jobs in order of submission; finals counts those that ended.
-	listed []*job
-	finals int
+	// bySubmission lists all known jobs in order of submission; finalCount counts those that ended.
+	bySubmission []*job
+	finalCount   int
 
 	classes map[classKey]*class
-	// active lists the classes with waiting jobs.
+	// active lists the classes that have waiting jobs.
 	active     []*class
 	orderStale bool
 	waiting    int
-	// blocked holds the value of seq at the last search that found nothing.
-	blocked map[shapeKey]uint64
-	// holds lists the jobs with a hold, claims and reservations.
+	// failedSearches holds the value of seq at the last search of each kind that found no placement.
+	failedSearches map[shapeKey]uint64
+	// holds lists the jobs that have a hold, for a claim or as a reservation.
 	holds []*job
 	// nextConsolidation is the earliest time of the next consolidation.
 	nextConsolidation time.Time
 
-	// unsettled lists workers whose occupants have to be looked at: leaving, gone or overcommitted.
-	unsettled []*worker
-	// suspended counts workers in quarantine or on trial.
+	// workersToReview lists the workers that changed and may be leaving, gone or overcommitted.
+	workersToReview []*worker
+	// suspended counts the workers in quarantine or on trial.
 	suspended int
 
 	plan Plan
-	// plans counts the calls of Plan; recheck asks for another one soon.
-	plans   uint64
-	recheck bool
-	// reviewedIn is the plan of the last review of a reservation.
-	reviewedIn uint64
-	// closeIn and closeOpen are the result of untilClose in the plan numbered closeKnownIn.
-	closeIn      time.Duration
-	closeOpen    bool
-	closeKnownIn uint64
-	scratch      []candidate
-	visit        []*class
+	// planCount counts the calls of Plan; recheck requests another one after recheckDelay.
+	planCount uint64
+	recheck   bool
+	// reviewedPlan is the number of the plan that last reviewed a reservation.
+	reviewedPlan uint64
+	// untilCloseValue and untilCloseFound cache the result of untilClose for the plan numbered untilClosePlan.
+	untilCloseValue time.Duration
+	untilCloseFound bool
+	untilClosePlan  uint64
+	// scratch and classBuffer are buffers reused between calls.
+	scratch     []candidate
+	classBuffer []*class
 }
 
-// options switch off single mechanisms, so that tests can show that their checks fail without them.
+// options disables single mechanisms, so that tests can show that their checks fail without them.
 type options struct {
-	// lendToUnstoppable lets unstoppable work onto bound capacity.
+	// lendToUnstoppable lets unstoppable work use capacity that is bound to guarantees.
 	lendToUnstoppable bool
-	// keepBindings never repairs bindings.
-	keepBindings bool
-	noReclaim    bool
-	noQuota      bool
-	// noReservations leaves blocked gangs to chance.
+	// noRebinding never repairs bindings after the first time.
+	noRebinding bool
+	noReclaim   bool
+	noQuota     bool
+	// noReservations makes no reservations, so small jobs can starve a gang.
 	noReservations bool
 	noQuarantine   bool
-	// noConsolidation leaves scattered free capacity as it is.
-	noConsolidation bool
-	noCondemnation  bool
-	// restartRunOnce treats run-once jobs like others.
+	// noConsolidation leaves free capacity scattered.
+	noConsolidation    bool
+	noPermanentFailure bool
+	// restartRunOnce restarts run-once jobs like other jobs.
 	restartRunOnce bool
 	// placeOnUnreachable treats unreachable workers as up.
 	placeOnUnreachable bool
-	// ignoreAdjacency places gangs anywhere.
+	// ignoreAdjacency places gangs without regard to adjacency.
 	ignoreAdjacency bool
-	// blameEveryWorker quarantines without comparing with the other workers, and noQuarantineBound without a bound.
-	blameEveryWorker, noQuarantineBound bool
-	// stopUnstoppable takes unstoppable work for a victim.
+	// noFailureConfirmation quarantines a worker even if the jobs that failed there ran on no other worker;
+	// noQuarantineBound ignores policy.quarantine_percent.
+	noFailureConfirmation, noQuarantineBound bool
+	// stopUnstoppable allows unstoppable work to be stopped for other jobs.
 	stopUnstoppable bool
-	// forgetHeld lets others start on capacity whose victims are being stopped.
-	forgetHeld bool
+	// ignoreHeld lets other jobs start on capacity whose victims are being stopped.
+	ignoreHeld bool
 }
 
 var _ Planner = (*Core)(nil)
@@ -108,33 +110,34 @@
 // New returns an empty core for one failure domain.
 func New(failureDomain string) *Core {
 	return &Core{
-		failureDomain: failureDomain,
-		workers:       make(map[string]*worker),
-		nowhere:       &rack{},
-		accounts:      make(map[string]*account),
-		jobs:          make(map[string]*job),
-		classes:       make(map[classKey]*class),
-		blocked:       make(map[shapeKey]uint64),
-		seq:           1,
+		failureDomain:  failureDomain,
+		workers:        make(map[string]*worker),
+		noRack:         &rack{},
+		accounts:       make(map[string]*account),
+		jobs:           make(map[string]*job),
+		classes:        make(map[classKey]*class),
+		failedSearches: make(map[shapeKey]uint64),
+		seq:            1,
 	}
 }
 
-// advance moves the core's time forward; an earlier time than before changes nothing.
+// advance moves the core's time forward. An earlier time has no effect.
 func (c *Core) advance(now time.Time) {
 	if now.After(c.now) {
 		c.now = now
 	}
 }
 
-// minMaxWait bounds policy.max_wait_ms from below. With less, reviews of reservations would be due in every plan.
+// minMaxWait is the lower bound of policy.max_wait_ms. With a smaller value, reviews of reservations would be due in
+// every plan.
 const minMaxWait = time.Second
 
-// maxWait is the wait after which a blocked gang gets a reservation.
+// maxWait returns the wait after which a blocked gang gets a reservation.
 func (c *Core) maxWait() time.Duration {
 	return max(time.Duration(c.policy.MaxWaitMS)*time.Millisecond, minMaxWait)
 }
 
-// account returns the record of an account, made if there is none.
+// account returns the record of an account, creating it if necessary.
 func (c *Core) account(name string) *account {
 	a := c.accounts[name]
 	if a == nil {
@@ -152,25 +155,25 @@
 	c.setWorkers(doc)
 	c.setAccounts(doc)
 	c.rekey()
-	clear(c.blocked)
+	clear(c.failedSearches)
 	c.bindingStale = true
 }
 
-// setWorkers makes the workers and racks match the document.
+// setWorkers updates the workers and racks to match the document.
 func (c *Core) setWorkers(doc *config.Document) {
 	for _, w := range c.ordered {
 		if _, ok := doc.Workers[w.id]; !ok {
 			w.removed = true
-			w.rack = c.nowhere
-			c.unsettled = append(c.unsettled, w)
+			w.rack = c.noRack
+			c.workersToReview = append(c.workersToReview, w)
 		}
 	}
 	c.ordered, c.racks, c.largestRack = nil, nil, 0
 	for id, spec := range doc.Workers {
 		if spec.FailureDomain != c.failureDomain {
 			if w := c.workers[id]; w != nil {
-				w.removed, w.rack = true, c.nowhere
-				c.unsettled = append(c.unsettled, w)
+				w.removed, w.rack = true, c.noRack
+				c.workersToReview = append(c.workersToReview, w)
 			}
 			continue
 		}
@@ -184,9 +187,9 @@
 	slices.SortFunc(c.ordered, func(a, b *worker) int {
 		return cmp.Or(cmp.Compare(a.rack.name, b.rack.name), cmp.Compare(a.id, b.id))
 	})
-	slices.SortFunc(c.unsettled, func(a, b *worker) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(c.workersToReview, func(a, b *worker) int { return cmp.Compare(a.id, b.id) })
 	c.groupRacks()
-	c.unsettled = append(c.unsettled, c.ordered...)
+	c.workersToReview = append(c.workersToReview, c.ordered...)
 }
 
 // groupRacks builds the racks from the ordered workers.
@@ -198,29 +201,30 @@
 			c.racks = append(c.racks, &rack{name: w.rack.name, index: last + 1})
 			last++
 		}
-		k := c.racks[last]
-		w.rack = k
-		k.workers = append(k.workers, w)
-		k.accelerators += w.capacity.Accelerators
+		rk := c.racks[last]
+		w.rack = rk
+		rk.workers = append(rk.workers, w)
+		rk.accelerators += w.capacity.Accelerators
 		for _, o := range w.occupants {
-			k.settled += o.job.settledOn(o.members)
+			rk.uncheckpointed += o.job.uncheckpointedOn(o.members)
 		}
-		c.largestRack = max(c.largestRack, k.accelerators)
-		c.touch(w, true)
+		c.largestRack = max(c.largestRack, rk.accelerators)
+		c.markChanged(w, true)
 	}
 }
 
-// worker returns the record of a worker, made if there is none. A worker without a report counts as unreachable.
+// worker returns the record of a worker, creating it if necessary. A worker that was never reported counts as
+// unreachable.
 func (c *Core) worker(id string) *worker {
 	w := c.workers[id]
 	if w == nil {
-		w = &worker{id: id, health: HealthUnreachable, removed: true, rack: c.nowhere}
+		w = &worker{id: id, health: HealthUnreachable, removed: true, rack: c.noRack}
 		c.workers[id] = w
 	}
 	return w
 }
 
-// setAccounts makes quotas and guarantees match the document.
+// setAccounts updates quotas and guarantees to match the document.
 func (c *Core) setAccounts(doc *config.Document) {
 	for name := range doc.Accounts {
 		c.account(name)
@@ -241,10 +245,10 @@
 	}
 }
 
-// rekey recomputes the order of the waiting jobs after a change of the policy.
+// rekey recomputes the queue keys of the waiting jobs after a policy change.
 func (c *Core) rekey() {
-	for _, cl := range c.active {
-		for j := cl.head; j != nil; j = j.next {
+	for _, q := range c.active {
+		for j := q.head; j != nil; j = j.next {
 			j.key = c.queueKey(j)
 		}
 	}
@@ -263,8 +267,8 @@
 	}
 	w.health = health
 	c.bindingStale = true
-	c.touch(w, true)
-	c.unsettled = append(c.unsettled, w)
+	c.markChanged(w, true)
+	c.workersToReview = append(c.workersToReview, w)
 }
 
 // Status implements Planner.
@@ -287,7 +291,7 @@
 // List implements Planner.
 func (c *Core) List() []jobs.Status {
 	list := make([]jobs.Status, 0, len(c.jobs))
-	for _, j := range c.listed {
+	for _, j := range c.bySubmission {
 		if c.jobs[j.ID] == j {
 			list = append(list, c.status(j))
 		}
@@ -295,7 +299,7 @@
 	return list
 }
 
-// Usage returns the use of resources by each account that uses any, by account name.
+// Usage returns the resource usage of each account that uses any, sorted by account name.
 func (c *Core) Usage() []Usage {
 	var list []Usage
 	for _, a := range c.accounts {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -13,7 +13,7 @@
 	if c.jobs[spec.ID] != nil {
 		return nil
 	}
-	if err := c.check(spec); err != nil {
+	if err := c.validate(spec); err != nil {
 		return err
 	}
 	j := c.addJob(spec)
@@ -22,8 +22,8 @@
 	return nil
 }
 
-// check refuses a job that can never run.
-func (c *Core) check(spec jobs.Job) error {
+// validate rejects a job that can never run.
+func (c *Core) validate(spec jobs.Job) error {
 	if err := spec.Shape.Validate(); err != nil {
 		return err
 	}
@@ -40,24 +40,24 @@
 		return errkind.New(errkind.Infeasible, "ask for a smaller shape or a larger quota",
 			"job asks for %d accelerators, above the quota of %d of account %s", total, a.quota, a.name)
 	}
-	if !c.holdsEmpty(s) {
+	if !c.fitsEmptyWorkers(s) {
 		return errkind.New(errkind.Infeasible, "ask for a smaller shape or looser adjacency",
-			"no workers of failure domain %s hold %s", c.failureDomain, shapeText(s))
+			"the workers of failure domain %s cannot hold %s", c.failureDomain, shapeText(s))
 	}
 	return nil
 }
 
-// addJob records a new job.
+// addJob creates the record of a new job.
 func (c *Core) addJob(spec jobs.Job) *job {
 	c.submissions++
-	j := &job{Job: spec, owner: c.account(spec.Account), seq: c.submissions, arrived: c.now, waitingSince: c.now}
+	j := &job{Job: spec, owner: c.account(spec.Account), seq: c.submissions, submittedAt: c.now, waitingSince: c.now}
 	j.key = c.queueKey(j)
 	c.jobs[spec.ID] = j
-	c.listed = append(c.listed, j)
+	c.bySubmission = append(c.bySubmission, j)
 	return j
 }
 
-// Adopt implements Planner. The members count where they are, also on workers that are not configured or full.
+// Adopt implements Planner. The members are counted on their workers even if these are not configured or are full.
 func (c *Core) Adopt(spec jobs.Job, attempt uint64, placement Placement, state jobs.State, now time.Time) {
 	c.advance(now)
 	j := c.jobs[spec.ID]
@@ -68,18 +68,18 @@
 	if j.placed() || j.state.Final() || len(placement) == 0 {
 		return
 	}
-	c.withdraw(j)
+	c.removeWaiting(j)
 	j.attempt = attempt
 	j.state = state
-	j.began = c.now
+	j.startedAt = c.now
 	if state == jobs.StateRunning {
-		j.ranSince = c.now
+		j.runningSince = c.now
 	}
 	j.stopPlanned = state == jobs.StateStopping
 	workers := make([]*worker, len(placement))
 	for i, id := range placement {
 		workers[i] = c.worker(id)
-		c.unsettled = append(c.unsettled, workers[i])
+		c.workersToReview = append(c.workersToReview, workers[i])
 	}
 	c.occupy(j, workers)
 	c.bindingStale = true
@@ -89,16 +89,16 @@
 func (c *Core) Started(id string, attempt uint64, now time.Time) {
 	c.advance(now)
 	j := c.jobs[id]
-	if j == nil || !j.placed() || j.attempt != attempt || !j.ranSince.IsZero() {
+	if j == nil || !j.placed() || j.attempt != attempt || !j.runningSince.IsZero() {
 		return
 	}
-	j.ranSince = c.now
+	j.runningSince = c.now
 	if j.state == jobs.StateStarting {
 		j.state = jobs.StateRunning
 	}
 }
 
-// Ended implements Planner. An end of another attempt than the present one changes nothing.
+// Ended implements Planner. It ignores the end of any attempt other than the current one.
 func (c *Core) Ended(id string, attempt uint64, result Result, now time.Time) {
 	c.advance(now)
 	j := c.jobs[id]
@@ -106,32 +106,32 @@
 		return
 	}
 	placement := j.placement
-	c.vacate(j)
+	c.release(j)
 	c.endTrial(j, placement, result.Kind)
 	planned := j.stopPlanned
 	j.stopPlanned = false
 	switch {
 	case result.Kind == ResultCompleted:
-		c.learn(j, now)
-		c.vouch(j, placement)
+		c.recordRunTime(j, now)
+		c.recordSuccess(j, placement)
 		c.finish(j, jobs.StateCompleted, result.Detail)
 	case j.cancelled && result.Kind == ResultStopped:
 		c.finish(j, jobs.StateCancelled, "cancelled")
 	case result.Kind == ResultUnknown, c.mustNotRepeat(j, result):
 		c.finish(j, jobs.StateUnknown, "may have run: "+result.Detail)
 	case result.Kind == ResultFailed:
-		c.failed(j, placement, result)
+		c.handleFailure(j, placement, result)
 	case j.cancelled:
 		c.finish(j, jobs.StateCancelled, "cancelled")
 	default:
 		if result.Kind == ResultNotStarted && !planned {
-			c.refused(j, placement, result)
+			c.notStarted(j, placement, result)
 		}
 		c.requeue(j)
 	}
 }
 
-// mustNotRepeat reports whether a run-once job ended without an outcome after it may have run.
+// mustNotRepeat reports whether a run-once job ended without a known outcome after it may have run.
 func (c *Core) mustNotRepeat(j *job, result Result) bool {
 	if !j.RunOnce || c.options.restartRunOnce {
 		return false
@@ -145,17 +145,17 @@
 	return false
 }
 
-// requeue lets a job wait again after an attempt that was stopped, lost or never ran.
+// requeue returns a job to its queue after an attempt that failed, was stopped, was lost or never ran.
 func (c *Core) requeue(j *job) {
 	j.state = jobs.StateWaiting
 	j.reason = ""
 	j.waitingSince = c.now
-	j.ranSince, j.began = time.Time{}, time.Time{}
+	j.runningSince, j.startedAt = time.Time{}, time.Time{}
 	j.key = c.queueKey(j)
 	c.enqueue(j)
 }
 
-// Cancel implements Planner. Its cost does not depend on the number of jobs.
+// Cancel implements Planner. Its amortized cost does not depend on the number of jobs.
 func (c *Core) Cancel(id string, now time.Time) bool {
 	c.advance(now)
 	j := c.jobs[id]
@@ -170,54 +170,55 @@
 		c.stop(j, StopCancelled)
 		return true
 	}
-	c.withdraw(j)
+	c.removeWaiting(j)
 	c.finish(j, jobs.StateCancelled, "cancelled before it ran")
 	return true
 }
 
-// withdraw removes a waiting job from its queue and gives back its hold and claim.
-func (c *Core) withdraw(j *job) {
+// removeWaiting removes a waiting job from its queue and releases its hold and claim.
+func (c *Core) removeWaiting(j *job) {
 	c.dequeue(j)
 	if j.hold != nil {
-		c.dropHold(j)
+		c.removeHold(j)
 	}
 	c.releaseCell(j)
 }
 
-// finish ends a job for good.
+// finish moves a job to a final state.
 func (c *Core) finish(j *job, state jobs.State, reason string) {
 	j.state = state
 	j.reason = reason
 	j.failures = nil
-	c.finals++
-	if c.finals > 2*finalJobsKept {
+	c.finalCount++
+	if c.finalCount > 2*finalJobsKept {
 		c.prune()
 	}
 }
 
-// prune forgets the oldest ended jobs.
+// prune removes the oldest ended jobs, so that finalJobsKept of them remain.
 func (c *Core) prune() {
-	drop := c.finals - finalJobsKept
-	kept := c.listed[:0]
-	for _, j := range c.listed {
+	drop := c.finalCount - finalJobsKept
+	kept := c.bySubmission[:0]
+	for _, j := range c.bySubmission {
 		if drop > 0 && j.state.Final() {
 			drop--
-			c.finals--
+			c.finalCount--
 			delete(c.jobs, j.ID)
 			continue
 		}
 		kept = append(kept, j)
 	}
-	clear(c.listed[len(kept):])
-	c.listed = kept
+	clear(c.bySubmission[len(kept):])
+	c.bySubmission = kept
 }
 
-// loseMembers gives back the members of all jobs on a worker whose tasks do not run any more.
-func (c *Core) loseMembers(w *worker) {
+// releaseLostMembers releases the resources of all members on a worker whose tasks no longer run, and ends or stops
+// their jobs.
+func (c *Core) releaseLostMembers(w *worker) {
 	for len(w.occupants) > 0 {
 		j := w.occupants[0].job
-		c.vacateWorker(j, w)
-		if c.survivors(j) {
+		c.releaseWorker(j, w)
+		if c.hasRemainingMembers(j) {
 			c.stop(j, StopLost)
 			continue
 		}
@@ -225,8 +226,8 @@
 	}
 }
 
-// survivors reports whether any member of j still uses resources.
-func (c *Core) survivors(j *job) bool {
+// hasRemainingMembers reports whether any member of j still uses resources.
+func (c *Core) hasRemainingMembers(j *job) bool {
 	for _, w := range j.placement {
 		if w.members(j) > 0 {
 			return true
--- a/scheduler/guarantee.go
+++ b/scheduler/guarantee.go
@@ -9,22 +9,23 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// cell is one copy of a guaranteed shape. Its binding to concrete healthy workers is the witness that the guarantee can
-// be packed, whatever runs there on loan (HiveD, OSDI 2020). Bindings are disjoint: on every healthy worker the bound
-// members and the unstoppable work together stay within the capacity, so stopping the rest always makes room.
+// cell is one copy of a guaranteed shape. It is bound to concrete healthy workers, which proves that the guarantee can
+// be packed, whatever borrowed work runs there (HiveD, OSDI 2020). Bindings are disjoint: on every healthy worker the
+// bound members and the unstoppable work together stay within the capacity, so stopping all other work always makes
+// room.
 type cell struct {
 	account *account
 	shape   resource.Shape
-	// place lists the worker of each member, nil while the guarantee is degraded.
-	place []*worker
-	// claim is the job that runs in the cell or waits for its victims to stop.
+	// workers lists the worker of each member, nil while the cell is unbound and its guarantee therefore degraded.
+	workers []*worker
+	// claim is the job that runs in the cell, or that waits until its victims have stopped.
 	claim *job
 }
 
-// on returns what the cell binds on w.
-func (cl *cell) on(w *worker) resource.Resources {
+// boundOn returns the resources of w that are bound to the cell.
+func (cl *cell) boundOn(w *worker) resource.Resources {
 	n := 0
-	for _, o := range cl.place {
+	for _, o := range cl.workers {
 		if o == w {
 			n++
 		}
@@ -32,29 +33,29 @@
 	return cl.shape.PerMember.Times(n)
 }
 
-// sound reports whether every worker of the binding may get work.
-func (cl *cell) sound() bool {
-	for _, w := range cl.place {
+// healthy reports whether the cell is bound and all its workers may get work.
+func (cl *cell) healthy() bool {
+	for _, w := range cl.workers {
 		if !w.eligible() {
 			return false
 		}
 	}
-	return len(cl.place) > 0
+	return len(cl.workers) > 0
 }
 
-// DegradedGuarantee is a guaranteed shape that the healthy capacity does not hold at present.
+// DegradedGuarantee is a guaranteed shape of which some copies do not fit the healthy capacity at present.
 type DegradedGuarantee struct {
 	Account string
 	Shape   resource.Shape
-	// Missing counts the copies without a binding.
+	// Missing counts the copies that are not bound to workers.
 	Missing int
 }
 
-// Degraded lists the guarantees that the healthy capacity does not hold, by account. It is as of the last Plan.
+// Degraded lists the guarantees that do not fit the healthy capacity, ordered by account, as of the last Plan.
 func (c *Core) Degraded() []DegradedGuarantee {
 	var list []DegradedGuarantee
 	for _, cl := range c.cells {
-		if cl.place != nil {
+		if cl.workers != nil {
 			continue
 		}
 		last := len(list) - 1
@@ -67,8 +68,8 @@
 	return list
 }
 
-// setGuarantees makes the cells of an account match its guarantees in this failure domain. Cells that stay keep their
-// binding and claim.
+// setGuarantees updates the cells of an account to match its guarantees in this failure domain. Cells of unchanged
+// guarantees keep their binding and claim.
 func (c *Core) setGuarantees(a *account, guarantees []config.Guarantee) {
 	old := a.cells
 	a.cells = nil
@@ -93,10 +94,10 @@
 	}
 }
 
-// bind gives an unbound cell its place.
-func (c *Core) bind(cl *cell, place []*worker) {
-	cl.place = place
-	for _, w := range place {
+// bind binds an unbound cell to the workers.
+func (c *Core) bind(cl *cell, workers []*worker) {
+	cl.workers = workers
+	for _, w := range workers {
 		w.bound = w.bound.Add(cl.shape.PerMember)
 		if cl.claim == nil {
 			w.unclaimed = w.unclaimed.Add(cl.shape.PerMember)
@@ -105,43 +106,43 @@
 	}
 }
 
-// unbind takes the place from a cell. A job that claims it goes on as ordinary work; a claim that waits for its victims
-// waits anew.
+// unbind removes the binding of a cell. A running job that claims it becomes ordinary work; a claim that waits for its
+// victims returns to waiting for a cell.
 func (c *Core) unbind(cl *cell) {
 	if j := cl.claim; j != nil {
 		if j.hold != nil {
-			c.dropHold(j)
+			c.removeHold(j)
 		}
 		c.detach(j)
 	}
-	for _, w := range cl.place {
+	for _, w := range cl.workers {
 		w.bound = w.bound.Sub(cl.shape.PerMember)
 		w.unclaimed = w.unclaimed.Sub(cl.shape.PerMember)
 		i := slices.Index(w.cells, cl)
 		w.cells = slices.Delete(w.cells, i, i+1)
-		c.touch(w, true)
+		c.markChanged(w, true)
 	}
-	cl.place = nil
+	cl.workers = nil
 }
 
-// take makes j the claim of a bound cell.
-func (c *Core) take(j *job, cl *cell) {
+// setClaim makes j the claim of a bound cell.
+func (c *Core) setClaim(j *job, cl *cell) {
 	j.cell, cl.claim = cl, j
-	for _, w := range cl.place {
+	for _, w := range cl.workers {
 		w.unclaimed = w.unclaimed.Sub(cl.shape.PerMember)
 	}
 }
 
-// releaseCell ends the claim of j; the binding stays.
+// releaseCell ends the claim of j. The cell stays bound.
 func (c *Core) releaseCell(j *job) {
 	cl := j.cell
 	if cl == nil {
 		return
 	}
 	j.cell, cl.claim = nil, nil
-	for _, w := range cl.place {
+	for _, w := range cl.workers {
 		w.unclaimed = w.unclaimed.Add(cl.shape.PerMember)
-		c.touch(w, true)
+		c.markChanged(w, true)
 	}
 	c.retryBinding = true
 }
@@ -152,24 +153,24 @@
 		return
 	}
 	c.releaseCell(j)
-	if !j.hard() || !j.placed() {
+	if !j.unstoppable() || !j.placed() {
 		return
 	}
-	j.owner.hardUsed += j.Shape.Total().Accelerators
+	j.owner.unstoppableUsed += j.Shape.Total().Accelerators
 	forEachWorker(j.placement, func(w *worker, n int) {
 		if n := w.members(j); n > 0 {
-			w.hard = w.hard.Add(j.Shape.PerMember.Times(n))
+			w.unstoppable = w.unstoppable.Add(j.Shape.PerMember.Times(n))
 		}
 	})
 }
 
-// attach makes an ordinary running job the claim of an unclaimed cell, which moves to where the job runs. It reports
-// whether the move keeps all bindings disjoint.
+// attach makes an ordinary running job the claim of an unclaimed cell and binds the cell to the workers of the job. It
+// does nothing and returns false if the bindings would no longer be disjoint.
 func (c *Core) attach(j *job, cl *cell) bool {
 	fits := true
 	forEachWorker(j.placement, func(w *worker, n int) {
-		room := w.entitled(cl)
-		if j.hard() {
+		room := w.bindable(cl)
+		if j.unstoppable() {
 			room = room.Add(j.Shape.PerMember.Times(n))
 		}
 		if !w.eligible() || !cl.shape.PerMember.Times(n).Fits(room) {
@@ -181,39 +182,40 @@
 	}
 	c.unbind(cl)
 	c.bind(cl, j.placement)
-	c.take(j, cl)
-	if j.hard() {
-		j.owner.hardUsed -= j.Shape.Total().Accelerators
+	c.setClaim(j, cl)
+	if j.unstoppable() {
+		j.owner.unstoppableUsed -= j.Shape.Total().Accelerators
 		forEachWorker(j.placement, func(w *worker, n int) {
-			w.hard = w.hard.Sub(j.Shape.PerMember.Times(n))
+			w.unstoppable = w.unstoppable.Sub(j.Shape.PerMember.Times(n))
 		})
 	}
 	return true
 }
 
-// matches reports whether the job asks for the guaranteed shape, with no more processors or memory.
+// matches reports whether a job of shape s counts as a claim of the guarantee: it has the members and accelerators of
+// the guaranteed shape and needs no more processors, memory or adjacency.
 func (cl *cell) matches(s resource.Shape) bool {
 	g := cl.shape
 	return s.Members == g.Members && s.PerMember.Accelerators == g.PerMember.Accelerators &&
-		s.PerMember.Fits(g.PerMember) && looser(s.Adjacency, g.Adjacency)
+		s.PerMember.Fits(g.PerMember) && adjacencySatisfied(s.Adjacency, g.Adjacency)
 }
 
-// covers reports whether the job fits into the cell.
+// covers reports whether a job of shape s fits into the cell.
 func (cl *cell) covers(s resource.Shape) bool {
 	g := cl.shape
-	return s.Members <= g.Members && s.PerMember.Fits(g.PerMember) && looser(s.Adjacency, g.Adjacency)
+	return s.Members <= g.Members && s.PerMember.Fits(g.PerMember) && adjacencySatisfied(s.Adjacency, g.Adjacency)
 }
 
-// looser reports whether a placement with adjacency have also satisfies want.
-func looser(want, have resource.Adjacency) bool {
+// adjacencySatisfied reports whether a placement with adjacency have also satisfies want.
+func adjacencySatisfied(want, have resource.Adjacency) bool {
 	return want == have || want == resource.AdjacencyNone || have == resource.AdjacencyWorker
 }
 
-// openCell returns an unclaimed bound cell for j: one of its shape, or for unstoppable work, which gets no borrowed
-// capacity, any that holds it. Nil if there is none.
-func (c *Core) openCell(j *job, covering bool) *cell {
+// unclaimedCell returns a bound cell without a claim whose guarantee j matches, nil if there is none. With covering set
+// it accepts any cell that j fits into, for unstoppable work, which gets no borrowed capacity.
+func (c *Core) unclaimedCell(j *job, covering bool) *cell {
 	for _, cl := range j.owner.cells {
-		if cl.claim != nil || cl.place == nil {
+		if cl.claim != nil || cl.workers == nil {
 			continue
 		}
 		if cl.matches(j.Shape) || covering && cl.covers(j.Shape) {
@@ -225,46 +227,46 @@
 
 // rebind repairs the bindings after a change of workers, configuration or unstoppable work.
 func (c *Core) rebind() {
-	if !c.bindingStale && !(c.retryBinding && c.missingCells > 0) {
+	if !c.bindingStale && !(c.retryBinding && c.unboundCells > 0) {
 		c.retryBinding = false
 		return
 	}
 	c.bindingStale, c.retryBinding = false, false
-	if c.options.keepBindings && c.boundOnce {
+	if c.options.noRebinding && c.boundOnce {
 		return
 	}
 	c.boundOnce = true
 	for _, cl := range c.cells {
-		if cl.place != nil && !cl.sound() {
+		if cl.workers != nil && !cl.healthy() {
 			c.unbind(cl)
 		}
 	}
 	c.unbindOvercommitted()
 	c.attachRunning()
-	if c.bindMissing() > 0 {
+	if c.bindUnbound() > 0 {
 		c.repack()
 	}
 	c.attachRunning()
-	c.missingCells = 0
+	c.unboundCells = 0
 	for _, cl := range c.cells {
-		if cl.place == nil {
-			c.missingCells++
+		if cl.workers == nil {
+			c.unboundCells++
 		}
 	}
 }
 
-// unbindOvercommitted takes the binding from cells on workers whose capacity shrank or that run adopted unstoppable
-// work, unclaimed cells first.
+// unbindOvercommitted unbinds cells on workers whose capacity shrank or that run adopted unstoppable work, unclaimed
+// cells first.
 func (c *Core) unbindOvercommitted() {
 	for _, w := range c.ordered {
-		for len(w.cells) > 0 && !w.bound.Add(w.hard).Fits(w.capacity) {
+		for len(w.cells) > 0 && !w.bound.Add(w.unstoppable).Fits(w.capacity) {
 			i := slices.IndexFunc(w.cells, func(cl *cell) bool { return cl.claim == nil })
 			c.unbind(w.cells[max(i, 0)])
 		}
 	}
 }
 
-// attachRunning gives cells back to the running jobs of their shape, so that they are not stopped for others.
+// attachRunning assigns unclaimed cells to running jobs of their shape, so that these jobs are not stopped for others.
 func (c *Core) attachRunning() {
 	for _, cl := range c.cells {
 		if cl.claim != nil {
@@ -278,15 +280,15 @@
 	}
 }
 
-// bindMissing binds the unbound cells where there is room and returns how many stay unbound.
-func (c *Core) bindMissing() int {
+// bindUnbound binds the unbound cells where they fit and returns how many remain unbound.
+func (c *Core) bindUnbound() int {
 	missing := 0
-	for _, cl := range c.bySize() {
-		if cl.place != nil {
+	for _, cl := range c.cellsByDifficulty() {
+		if cl.workers != nil {
 			continue
 		}
-		if place := c.findBinding(cl); place != nil {
-			c.bind(cl, place)
+		if workers := c.findBinding(cl); workers != nil {
+			c.bind(cl, workers)
 		} else {
 			missing++
 		}
@@ -294,12 +296,12 @@
 	return missing
 }
 
-// bySize returns the cells, those that are hardest to place first.
-func (c *Core) bySize() []*cell {
+// cellsByDifficulty returns all cells, starting with those that are hardest to place.
+func (c *Core) cellsByDifficulty() []*cell {
 	sorted := slices.Clone(c.cells)
 	slices.SortStableFunc(sorted, func(a, b *cell) int {
 		return cmp.Or(
-			cmp.Compare(tightness(b.shape), tightness(a.shape)),
+			cmp.Compare(adjacencyDifficulty(b.shape), adjacencyDifficulty(a.shape)),
 			cmp.Compare(b.shape.PerMember.Accelerators, a.shape.PerMember.Accelerators),
 			cmp.Compare(sizeOf(b.shape), sizeOf(a.shape)),
 			cmp.Compare(b.shape.PerMember.MilliCPU, a.shape.PerMember.MilliCPU),
@@ -308,8 +310,8 @@
 	return sorted
 }
 
-// tightness orders adjacency levels by how few placements satisfy them.
-func tightness(s resource.Shape) int {
+// adjacencyDifficulty ranks the adjacency of a shape by how hard it is to satisfy.
+func adjacencyDifficulty(s resource.Shape) int {
 	switch {
 	case s.Members == 1, s.Adjacency == resource.AdjacencyNone:
 		return 0
@@ -319,18 +321,18 @@
 	return 2
 }
 
-// assertReclaimable states promise P1: every bound cell is on healthy workers whose other bindings and unstoppable work
-// leave room for it. Degraded guarantees are listed by Degraded instead.
+// assertReclaimable checks invariant P1: every bound cell is on healthy workers whose other bindings and unstoppable
+// work leave room for it. Unbound cells are not checked; Degraded lists their guarantees.
 func (c *Core) assertReclaimable() {
 	for _, w := range c.ordered {
 		if len(w.cells) == 0 {
 			continue
 		}
-		if w.eligible() && w.bound.Add(w.hard).Fits(w.capacity) {
+		if w.eligible() && w.bound.Add(w.unstoppable).Fits(w.capacity) {
 			continue
 		}
 		invariant.Check(false, invariant.GuaranteeReclaimable,
 			"worker %s: guaranteed %v and unstoppable %v exceed capacity %v, or the worker is %s",
-			w.id, w.bound, w.hard, w.capacity, w.health)
+			w.id, w.bound, w.unstoppable, w.capacity, w.health)
 	}
 }
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -8,19 +8,20 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// blockedSearches bounds the memory of searches that found nothing.
-const blockedSearches = 4096
+// maxFailedSearches limits the memory used by the record of failed searches.
+const maxFailedSearches = 4096
 
-// recheckDelay is the time to the next plan when a victim could not be stopped because the present plan started it.
+// recheckDelay is the time to the next plan if work was deferred, for example because a victim could not be stopped in
+// the plan that started it.
 const recheckDelay = 10 * time.Millisecond
 
 // Plan implements Planner.
 func (c *Core) Plan(now time.Time) Plan {
 	c.advance(now)
-	c.plans++
+	c.planCount++
 	c.recheck = false
-	c.reviewQuarantine()
-	c.settle()
+	c.reviewQuarantines()
+	c.reviewWorkers()
 	c.rebind()
 	c.startHeld()
 	c.startWaiting()
@@ -33,43 +34,45 @@
 	return plan
 }
 
-// settle empties leaving workers, gives back what was lost with gone ones and relieves overcommitted ones.
-func (c *Core) settle() {
-	for _, w := range c.unsettled {
+// reviewWorkers drains leaving workers, releases members on workers that are gone, and stops work on overcommitted
+// ones.
+func (c *Core) reviewWorkers() {
+	for _, w := range c.workersToReview {
 		switch {
 		case w.health == HealthGone:
-			c.loseMembers(w)
+			c.releaseLostMembers(w)
 		case w.leaving():
-			c.drain(w)
+			c.drainWorker(w)
 		default:
-			c.relieve(w)
+			c.stopExcess(w)
 		}
 		if w.removed && len(w.occupants) == 0 {
-			c.forget(w)
+			c.forgetWorker(w)
 		}
 	}
-	c.unsettled = c.unsettled[:0]
+	c.workersToReview = c.workersToReview[:0]
 }
 
-// forget drops a worker that left the configuration.
-func (c *Core) forget(w *worker) {
+// forgetWorker removes the record of a worker that left the configuration and whose tasks no longer run.
+func (c *Core) forgetWorker(w *worker) {
 	if c.workers[w.id] != w || w.health != HealthGone {
 		return
 	}
 	delete(c.workers, w.id)
 }
 
-// drain plans the stop of all stoppable work on a leaving worker; the rest runs to its end.
-func (c *Core) drain(w *worker) {
+// drainWorker stops all stoppable work on a leaving worker. Unstoppable work runs to its end.
+func (c *Core) drainWorker(w *worker) {
 	for _, o := range w.occupants {
-		if !o.job.hard() {
+		if !o.job.unstoppable() {
 			c.stop(o.job, StopDrain)
 		}
 	}
 }
 
-// relieve plans stops on a worker that runs more than its capacity, which happens when the configuration shrinks it.
-func (c *Core) relieve(w *worker) {
+// stopExcess stops the work with the least loss on a worker that runs more than its capacity, which happens when the
+// configuration reduces the capacity.
+func (c *Core) stopExcess(w *worker) {
 	if w.used.Fits(w.capacity) {
 		return
 	}
@@ -82,76 +85,77 @@
 		if left.Fits(w.capacity) {
 			return
 		}
-		if !o.job.hard() {
+		if !o.job.unstoppable() {
 			left = left.Sub(o.job.Shape.PerMember.Times(o.members))
 			c.stop(o.job, StopDrain)
 		}
 	}
 }
 
-// startWaiting starts what can start: urgent jobs, then claims of guarantees, then the rest in order.
+// startWaiting starts the waiting jobs that can start: urgent jobs, then claims of guarantees, then the rest in queue
+// order.
 func (c *Core) startWaiting() {
-	c.order()
-	c.visit = append(c.visit[:0], c.active...)
-	for _, cl := range c.visit {
-		if cl.key.urgent {
-			c.drainClass(cl, c.try)
+	c.sortClasses()
+	c.classBuffer = append(c.classBuffer[:0], c.active...)
+	for _, q := range c.classBuffer {
+		if q.key.urgent {
+			c.startClass(q, c.tryStart)
 		}
 	}
-	for _, cl := range c.visit {
-		if !cl.key.urgent && cl.owner.guaranteed+len(cl.owner.cells) > 0 {
-			c.drainClass(cl, c.tryClaim)
+	for _, q := range c.classBuffer {
+		if !q.key.urgent && q.owner.guaranteed+len(q.owner.cells) > 0 {
+			c.startClass(q, c.tryClaim)
 		}
 	}
-	for _, cl := range c.visit {
-		if !cl.key.urgent {
-			c.drainClass(cl, c.try)
+	for _, q := range c.classBuffer {
+		if !q.key.urgent {
+			c.startClass(q, c.tryStart)
 		}
 	}
 }
 
-// drainClass tries the jobs of a class in order until one has to wait.
-func (c *Core) drainClass(cl *class, try func(*job) bool) {
-	for cl.head != nil {
-		j := cl.head
-		if c.now.Before(j.notBefore) || !j.owner.known || !try(j) {
+// startClass starts the jobs of a class in order until one cannot start.
+func (c *Core) startClass(q *class, start func(*job) bool) {
+	for q.head != nil {
+		j := q.head
+		if c.now.Before(j.notBefore) || !j.owner.known || !start(j) {
 			return
 		}
 	}
 }
 
-// try starts a job, as a claim if its account has a free guarantee of its shape. It reports whether the job left its
-// queue.
-func (c *Core) try(j *job) bool {
+// tryStart starts a job, as a claim if its account has an unclaimed guarantee that the job matches. It reports whether
+// the job left its queue.
+func (c *Core) tryStart(j *job) bool {
 	if c.tryClaim(j) {
 		return true
 	}
 	if c.withinQuota(j) {
-		if place := c.search(j); place != nil {
-			c.start(j, place)
+		if placement := c.search(j); placement != nil {
+			c.start(j, placement)
 			return true
 		}
 	}
-	if !j.hard() {
+	if !j.unstoppable() {
 		return false
 	}
 	if c.withinQuota(j) && c.startByDisplacing(j) {
 		return true
 	}
-	// Unstoppable work gets no borrowed capacity. Where nothing but bound capacity would ever hold it, it uses up a
-	// larger guarantee of its own account.
-	cl := c.openCell(j, true)
-	return cl != nil && !c.holdsUnbound(j.Shape) && c.claim(j, cl)
+	// Unstoppable work gets no borrowed capacity. If only bound capacity could ever hold it, it uses a larger guarantee
+	// of its own account.
+	cl := c.unclaimedCell(j, true)
+	return cl != nil && !c.fitsUnboundCapacity(j.Shape) && c.claim(j, cl)
 }
 
-// tryClaim starts or reclaims for a job that matches an unclaimed guarantee of its account.
+// tryClaim starts a job that matches an unclaimed guarantee of its account, or begins to reclaim capacity for it.
 func (c *Core) tryClaim(j *job) bool {
-	cl := c.openCell(j, false)
+	cl := c.unclaimedCell(j, false)
 	return cl != nil && c.claim(j, cl)
 }
 
-// withinQuota reports whether the account may start j as ordinary work. Unstoppable work leaves room for the account's
-// guarantees, since it could not be stopped for a claim.
+// withinQuota reports whether the quota allows j to start as ordinary work. Ordinary unstoppable work must leave enough
+// quota for the account's guarantees, since it could not be stopped for a claim.
 func (c *Core) withinQuota(j *job) bool {
 	a := j.owner
 	need := j.Shape.Total().Accelerators
@@ -164,41 +168,42 @@
 	return c.unstoppableWithinQuota(j)
 }
 
-// unstoppableWithinQuota reports whether ordinary unstoppable work leaves the account's guarantees within its quota.
+// unstoppableWithinQuota reports whether the quota of the account covers its guarantees and all its ordinary
+// unstoppable work, including j. It is true for stoppable jobs.
 func (c *Core) unstoppableWithinQuota(j *job) bool {
 	a := j.owner
-	return !j.hard() || a.guaranteed == 0 || a.hardUsed+j.Shape.Total().Accelerators <= a.quota-a.guaranteed
+	return !j.unstoppable() || a.guaranteed == 0 || a.unstoppableUsed+j.Shape.Total().Accelerators <= a.quota-a.guaranteed
 }
 
-// request returns the search for j as ordinary work.
-func (c *Core) request(j *job) *request {
-	return &request{job: j, shape: j.Shape, hard: j.hard(), backfill: c.backfills(j)}
+// placementRequest returns the search that places j as ordinary work.
+func (c *Core) placementRequest(j *job) *placementRequest {
+	return &placementRequest{job: j, shape: j.Shape, unstoppable: j.unstoppable(), backfill: c.backfills(j)}
 }
 
-// search finds free capacity for j as ordinary work. A search that found nothing is repeated only in racks that had
-// capacity freed since.
+// search finds free capacity for j as ordinary work. After a failed search it looks only at racks in which capacity has
+// been freed since.
 func (c *Core) search(j *job) []*worker {
-	r := c.request(j)
+	r := c.placementRequest(j)
 	if c.options.ignoreAdjacency {
 		r.shape.Adjacency = "none"
 	}
 	if j.class.key.solo != "" {
-		place := c.find(r)
-		if place == nil && c.forgetRefusals(j) {
-			place = c.find(r)
+		placement := c.findPlacement(r)
+		if placement == nil && c.clearNotStarted(j) {
+			placement = c.findPlacement(r)
 		}
-		return place
+		return placement
 	}
-	key := shapeKey{shape: r.shape, hard: r.hard, backfill: r.backfill, trial: mayTry(j), runOnce: j.RunOnce}
-	r.since = c.blocked[key]
-	place := c.find(r)
-	if place == nil {
-		if len(c.blocked) >= blockedSearches {
-			clear(c.blocked)
+	key := shapeKey{shape: r.shape, unstoppable: r.unstoppable, backfill: r.backfill, trial: suitsTrial(j), runOnce: j.RunOnce}
+	r.since = c.failedSearches[key]
+	placement := c.findPlacement(r)
+	if placement == nil {
+		if len(c.failedSearches) >= maxFailedSearches {
+			clear(c.failedSearches)
 		}
-		c.blocked[key] = c.seq
+		c.failedSearches[key] = c.seq
 	}
-	return place
+	return placement
 }
 
 // start plans the start of a waiting job.
@@ -207,14 +212,14 @@
 	j.attempt++
 	j.state = jobs.StateStarting
 	j.reason = ""
-	j.began, j.ranSince = c.now, time.Time{}
-	j.startedIn = c.plans
+	j.startedAt, j.runningSince = c.now, time.Time{}
+	j.startedPlan = c.planCount
 	c.occupy(j, placement)
 	names := make(Placement, len(placement))
 	for i, w := range placement {
 		names[i] = w.id
-		if w.conduct.phase == phaseTrial {
-			w.conduct.trial = j
+		if w.standing.phase == phaseTrial {
+			w.standing.trial = j
 		}
 	}
 	c.plan.Starts = append(c.plan.Starts, Start{
@@ -222,7 +227,7 @@
 	})
 }
 
-// borrows reports whether any worker of the placement now runs work on bound capacity.
+// borrows reports whether any worker of the placement now runs work on capacity that is bound to an unclaimed cell.
 func (c *Core) borrows(placement []*worker) bool {
 	for _, w := range placement {
 		if !w.used.Add(w.unclaimed).Fits(w.capacity) {
@@ -232,7 +237,7 @@
 	return false
 }
 
-// nextCheck returns when the core may have something to do without an event.
+// nextCheck returns the next time at which a plan may change something without an event, zero if there is none.
 func (c *Core) nextCheck() time.Time {
 	var next time.Time
 	soonest := func(t time.Time) {
@@ -243,33 +248,33 @@
 	if c.recheck {
 		soonest(c.now.Add(recheckDelay))
 	}
-	for _, cl := range c.active {
-		soonest(cl.head.notBefore)
-		if gang(cl.head) && !c.options.noReservations {
-			soonest(c.reservationDue(cl))
+	for _, q := range c.active {
+		soonest(q.head.notBefore)
+		if canStarve(q.head) && !c.options.noReservations {
+			soonest(c.reservationDue(q))
 		}
 	}
 	for _, j := range c.holds {
 		if !j.hold.claim {
-			soonest(j.hold.review)
+			soonest(j.hold.reviewAt)
 		}
 	}
 	if c.suspended > 0 {
 		for _, w := range c.ordered {
-			c.quarantineCheck(w, soonest)
+			c.quarantineDue(w, soonest)
 		}
 	}
 	return next
 }
 
-// quarantineCheck reports the end of a quarantine and of a trial.
-func (c *Core) quarantineCheck(w *worker, soonest func(time.Time)) {
-	switch w.conduct.phase {
+// quarantineDue passes the end of the worker's quarantine or trial to soonest.
+func (c *Core) quarantineDue(w *worker, soonest func(time.Time)) {
+	switch w.standing.phase {
 	case phaseQuarantined:
-		soonest(w.conduct.until)
+		soonest(w.standing.until)
 	case phaseTrial:
-		if t := w.conduct.trial; t != nil && !t.ranSince.IsZero() {
-			soonest(t.ranSince.Add(trialTime))
+		if t := w.standing.trial; t != nil && !t.runningSince.IsZero() {
+			soonest(t.runningSince.Add(trialTime))
 		}
 	}
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -8,72 +8,72 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// classKey names jobs that are interchangeable for placement.
+// classKey identifies jobs that are interchangeable for placement.
 type classKey struct {
 	account       string
 	shape         resource.Shape
 	urgent        bool
 	runOnce       bool
 	canCheckpoint bool
-	// solo is the id of a job that must avoid workers on which it failed, empty for others.
+	// solo is the id of a job that failed or was refused and therefore has its own class, empty for other jobs.
 	solo string
 }
 
-// shapeKey names searches with the same answer on the same capacity.
+// shapeKey identifies searches that have the same result on the same capacity.
 type shapeKey struct {
-	shape    resource.Shape
-	hard     bool
-	backfill bool
-	// trial marks jobs that workers on trial accept.
+	shape       resource.Shape
+	unstoppable bool
+	backfill    bool
+	// trial marks jobs that may be placed on workers on trial.
 	trial bool
 	// runOnce marks jobs that avoid workers under suspicion.
 	runOnce bool
-	// displacing marks searches for capacity whose bindings would move away.
+	// displacing marks searches for capacity whose bindings would be moved.
 	displacing bool
 }
 
-// class is a first-in first-out queue of interchangeable waiting jobs. One failed search blocks the whole class, so a
-// plan costs one search per class and not one per job.
+// class is a FIFO queue of interchangeable waiting jobs. One failed search blocks the whole class, so a plan costs one
+// search per class instead of one per job.
 type class struct {
 	key        classKey
 	owner      *account
 	head, tail *job
 	length     int
-	// position is the index in Core.active, -1 if the class is empty.
-	position int
-	// retryReserve delays another search for a reservation.
-	retryReserve time.Time
+	// activeIndex is the index in Core.active, -1 if the class is empty.
+	activeIndex int
+	// reservationRetryAt is the earliest time of the next search for a reservation.
+	reservationRetryAt time.Time
 }
 
 // enqueue adds j to the waiting jobs of its class, in order of submission.
 func (c *Core) enqueue(j *job) {
-	cl := c.classOf(j)
-	j.class = cl
-	after := cl.tail
+	q := c.classOf(j)
+	j.class = q
+	after := q.tail
 	for after != nil && after.seq > j.seq {
 		after = after.prev
 	}
-	c.linkAfter(cl, after, j)
-	cl.length++
+	c.linkAfter(q, after, j)
+	q.length++
 	c.waiting++
-	if cl.position < 0 {
-		cl.position = len(c.active)
-		c.active = append(c.active, cl)
+	if q.activeIndex < 0 {
+		q.activeIndex = len(c.active)
+		c.active = append(c.active, q)
 	}
 	c.orderStale = true
 }
 
-func (c *Core) linkAfter(cl *class, after, j *job) {
+func (c *Core) linkAfter(q *class, after, j *job) {
 	j.prev = after
 	if after == nil {
-		j.next = cl.head
-		cl.head = j
+		j.next = q.head
+		q.head = j
 	} else {
 		j.next = after.next
 		after.next = j
 	}
 	if j.next == nil {
-		cl.tail = j
+		q.tail = j
 	} else {
 		j.next.prev = j
 	}
@@ -81,42 +81,42 @@
 
 // dequeue removes j from its class at constant cost.
 func (c *Core) dequeue(j *job) {
-	cl := j.class
-	if cl == nil {
+	q := j.class
+	if q == nil {
 		return
 	}
 	if j.prev == nil {
-		cl.head = j.next
+		q.head = j.next
 	} else {
 		j.prev.next = j.next
 	}
 	if j.next == nil {
-		cl.tail = j.prev
+		q.tail = j.prev
 	} else {
 		j.next.prev = j.prev
 	}
 	j.prev, j.next, j.class = nil, nil, nil
-	cl.length--
+	q.length--
 	c.waiting--
 	c.orderStale = true
-	if cl.length == 0 {
-		c.deactivate(cl)
+	if q.length == 0 {
+		c.deactivate(q)
 	}
 }
 
-// deactivate removes an empty class from the active ones.
-func (c *Core) deactivate(cl *class) {
+// deactivate removes an empty class.
+func (c *Core) deactivate(q *class) {
 	last := len(c.active) - 1
 	moved := c.active[last]
-	c.active[cl.position] = moved
-	moved.position = cl.position
+	c.active[q.activeIndex] = moved
+	moved.activeIndex = q.activeIndex
 	c.active[last] = nil
 	c.active = c.active[:last]
-	cl.position = -1
-	delete(c.classes, cl.key)
+	q.activeIndex = -1
+	delete(c.classes, q.key)
 }
 
-// classOf returns the class of j, made if there is none.
+// classOf returns the class of j, creating it if necessary.
 func (c *Core) classOf(j *job) *class {
 	key := classKey{
 		account: j.Account, shape: j.Shape, urgent: j.Urgent,
@@ -125,16 +125,16 @@
 	if len(j.failures) > 0 || !j.notBefore.IsZero() {
 		key.solo = j.ID
 	}
-	cl := c.classes[key]
-	if cl == nil {
-		cl = &class{key: key, owner: j.owner, position: -1}
-		c.classes[key] = cl
+	q := c.classes[key]
+	if q == nil {
+		q = &class{key: key, owner: j.owner, activeIndex: -1}
+		c.classes[key] = q
 	}
-	return cl
+	return q
 }
 
-// order sorts the active classes: urgent ones first, then by the key of their first job.
-func (c *Core) order() {
+// sortClasses sorts the active classes: urgent ones first, then by the queue key of their first job.
+func (c *Core) sortClasses() {
 	if !c.orderStale {
 		return
 	}
@@ -151,7 +151,7 @@
 		}
 		return cmp.Compare(a.head.seq, b.head.seq)
 	})
-	for i, cl := range c.active {
-		cl.position = i
+	for i, q := range c.active {
+		q.activeIndex = i
 	}
 }
--- a/scheduler/reclaim.go
+++ b/scheduler/reclaim.go
@@ -9,43 +9,46 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// The cost of stops.
+// Costs of stopping a job.
 const (
 	// restartLoss is the run time that a checkpoint, stop and restart cost even if no progress is lost.
 	restartLoss = 30 * time.Second
-	// plainTaskLoss is the weight of a member without accelerators relative to one accelerator.
-	plainTaskLoss = 0.1
-	// unreachableLoss is added for a job with a member on an unreachable worker: its stop takes a lease time.
+	// cpuMemberWeight is the weight of a member without accelerators, relative to one accelerator.
+	cpuMemberWeight = 0.1
+	// unreachableLoss is added for a job with a member on an unreachable worker, whose stop takes until its lease
+	// expires.
 	unreachableLoss = time.Hour
-	// checkpointShare is the part of the reclaim bound given to the checkpoint; the rest is for the stop and the start.
+	// checkpointShare is the share of the reclaim bound given to the checkpoint; the rest is for the stop and the
+	// start.
 	checkpointShare = 0.5
 )
 
-// hold keeps capacity for a waiting job: for a claim whose victims are being stopped, or as a reservation.
+// hold keeps capacity for a waiting job, either for a claim whose victims are being stopped or as a reservation.
 type hold struct {
 	placement []*worker
-	// claim marks the hold of a claim; others are reservations.
+	// claim marks the hold of a claim; all others are reservations.
 	claim bool
-	// closed marks a reservation whose victims are being stopped; backfill does not enter any more.
+	// closed marks a reservation whose victims are being stopped and that no longer admits backfill.
 	closed bool
-	// since is when the hold was made; an open reservation is looked at again at review and closed at deadline.
-	since, review, deadline time.Time
-	// checked is the value of Core.seq at the last search for other free capacity.
-	checked uint64
+	// createdAt is when the hold was made. An open reservation is reviewed at reviewAt. After deadline a review closes
+	// it unless it still waits for work that may not be stopped.
+	createdAt, reviewAt, deadline time.Time
+	// checkedSeq is the value of Core.seq at the last search for other free capacity.
+	checkedSeq uint64
 }
 
-// loss returns the accelerator-seconds that a stop of j loses. It is computed once per plan.
+// loss returns the work lost by stopping j, in accelerator-seconds. It is computed once per plan.
 func (c *Core) loss(j *job) float64 {
-	if j.lostIn != c.plans {
-		j.lost, j.lostIn = c.computeLoss(j), c.plans
+	if j.lossPlan != c.planCount {
+		j.lossValue, j.lossPlan = c.computeLoss(j), c.planCount
 	}
-	return j.lost
+	return j.lossValue
 }
 
 func (c *Core) computeLoss(j *job) float64 {
 	lost := restartLoss
-	if !j.CanCheckpoint && !j.began.IsZero() {
-		lost += c.now.Sub(j.began)
+	if !j.CanCheckpoint && !j.startedAt.IsZero() {
+		lost += c.now.Sub(j.startedAt)
 	}
 	for _, w := range j.placement {
 		if w.health == HealthUnreachable {
@@ -53,73 +56,74 @@
 			break
 		}
 	}
-	return c.weightOf(j) * lost.Seconds()
+	return c.acceleratorWeight(j) * lost.Seconds()
 }
 
-// weightOf returns the accelerators of a job, or the part of one that its plain tasks count for.
-func (c *Core) weightOf(j *job) float64 {
+// acceleratorWeight returns the number of accelerators of a job. For a job without accelerators it returns the weight
+// of its members, a fraction of an accelerator each.
+func (c *Core) acceleratorWeight(j *job) float64 {
 	if n := j.Shape.Total().Accelerators; n > 0 {
 		return float64(n)
 	}
-	return plainTaskLoss * float64(j.Shape.Members)
+	return cpuMemberWeight * float64(j.Shape.Members)
 }
 
-// eviction is the search for a place for one job by stops of others.
-type eviction struct {
+// preemption is the search for a placement of one job that requires other jobs to be stopped.
+type preemption struct {
 	core *Core
 	job  *job
-	// cell is the cell to be claimed, nil for a reservation.
+	// cell is the cell to be claimed, nil for a reservation or a consolidation.
 	cell *cell
-	// patient allows capacity of work that may not be stopped; the job then waits for its end.
-	patient bool
-	// moving looks for jobs to be moved by a consolidation.
+	// waitForUnstoppable allows capacity used by work that may not be stopped; the job then waits for that work to end.
+	waitForUnstoppable bool
+	// moving restricts the victims to jobs that consolidation may move.
 	moving bool
-	// found and stoppable are buffers.
+	// found and stoppable are buffers reused between calls.
 	found     []candidate
 	stoppable []*job
 }
 
-// unpriced marks a candidate whose cost is not known yet.
-const unpriced = -1
+// unknownCost marks a candidate whose cost has not been computed yet.
+const unknownCost = -1
 
 // mayStop reports whether v may be stopped for the job.
-func (e *eviction) mayStop(v *job) bool {
-	if v.hard() && !e.core.options.stopUnstoppable || v.cell != nil || v.stopPlanned {
+func (p *preemption) mayStop(v *job) bool {
+	if v.unstoppable() && !p.core.options.stopUnstoppable || v.cell != nil || v.stopPlanned {
 		return false
 	}
-	if v.startedIn == e.core.plans {
-		e.core.recheck = true
+	if v.startedPlan == p.core.planCount {
+		p.core.recheck = true
 		return false
 	}
-	if e.cell != nil {
+	if p.cell != nil {
 		return true
 	}
-	if e.moving {
-		return e.core.movable(v)
+	if p.moving {
+		return p.core.mayMove(v)
 	}
-	return v.size() < e.job.size() && v.stopsSuffered < maxReservationStops
+	return v.size() < p.job.size() && v.reservationStops < maxReservationStops
 }
 
-// ceiling returns the most that the job may hold on w in the end.
-func (e *eviction) ceiling(w *worker) resource.Resources {
-	if e.cell != nil {
-		return w.entitled(e.cell)
+// limit returns the most resources of w that the job may use once all its victims have stopped.
+func (p *preemption) limit(w *worker) resource.Resources {
+	if p.cell != nil {
+		return w.bindable(p.cell)
 	}
 	room := w.capacity.Sub(w.held).Sub(w.reserved)
-	if !e.job.hard() {
+	if !p.job.unstoppable() {
 		return room
 	}
-	guaranteed := w.entitled(nil)
-	if e.patient {
-		guaranteed = guaranteed.Add(w.hard)
+	guaranteed := w.bindable(nil)
+	if p.waitForUnstoppable {
+		guaranteed = guaranteed.Add(w.unstoppable)
 	}
-	return atMost(room, guaranteed)
+	return minResources(room, guaranteed)
 }
 
-// available returns what w has for the job without further stops, stops under way included.
-func (e *eviction) available(w *worker) resource.Resources {
+// available returns the resources of w that the job gets without further stops, including those of jobs being stopped.
+func (p *preemption) available(w *worker) resource.Resources {
 	room := w.free()
-	if e.cell == nil {
+	if p.cell == nil {
 		room = room.Sub(w.reserved)
 	}
 	for _, o := range w.occupants {
@@ -130,10 +134,11 @@
 	return room
 }
 
-// rooms returns what w has for the job without further stops, and what it has if all that may be stopped is stopped.
-func (e *eviction) rooms(w *worker) (now, reachable resource.Resources) {
+// nowAndReachable returns the resources of w that the job gets without further stops, and those that it gets if
+// everything that may be stopped is stopped.
+func (p *preemption) nowAndReachable(w *worker) (now, reachable resource.Resources) {
 	now = w.free()
-	if e.cell == nil {
+	if p.cell == nil {
 		now = now.Sub(w.reserved)
 	}
 	reachable = now
@@ -143,56 +148,57 @@
 		case o.job.stopPlanned:
 			now = now.Add(use)
 			reachable = reachable.Add(use)
-		case e.patient || e.mayStop(o.job):
+		case p.waitForUnstoppable || p.mayStop(o.job):
 			reachable = reachable.Add(use)
 		}
 	}
-	return now, atMost(reachable, e.ceiling(w))
+	return now, minResources(reachable, p.limit(w))
 }
 
-// cost returns the loss of making room for n members on w.
-func (e *eviction) cost(w *worker, n int) float64 {
-	need := e.job.Shape.PerMember.Times(n)
-	room := e.available(w)
+// cost returns the work lost by making room for n members on w.
+func (p *preemption) cost(w *worker, n int) float64 {
+	need := p.job.Shape.PerMember.Times(n)
+	room := p.available(w)
 	cost := 0.0
-	for _, v := range e.victimsOn(w, need) {
-		cost += e.core.loss(v)
+	for _, v := range p.victimsOn(w, need) {
+		cost += p.core.loss(v)
 		room = room.Add(v.Shape.PerMember.Times(w.members(v)))
 	}
-	if e.patient && !need.Fits(room) {
-		cost += e.patienceCost(w)
+	if p.waitForUnstoppable && !need.Fits(room) {
+		cost += p.unstoppableWaitCost(w)
 	}
 	return cost
 }
 
-// patienceCost prices the work on w that may not be stopped: the job would wait for its end, which has no bound. Without
-// a price a patient search would prefer workers full of such work, where nothing is lost by stops.
-func (e *eviction) patienceCost(w *worker) float64 {
+// unstoppableWaitCost returns the cost of the work on w that may not be stopped: the job would wait for the end of that
+// work, which has no bound. Without this cost, a search with waitForUnstoppable would prefer workers full of such work,
+// since no stops lose anything there.
+func (p *preemption) unstoppableWaitCost(w *worker) float64 {
 	accelerators := 0
 	for _, o := range w.occupants {
-		if !o.job.stopPlanned && !e.mayStop(o.job) {
+		if !o.job.stopPlanned && !p.mayStop(o.job) {
 			accelerators += max(1, o.members*o.job.Shape.PerMember.Accelerators)
 		}
 	}
-	return float64(accelerators) * e.core.waits(closeAnyway).Seconds()
+	return float64(accelerators) * p.core.maxWaits(forceCloseWaits).Seconds()
 }
 
-// victimsOn returns the jobs to stop on w for the need, those with the least loss first. The slice is valid until the
-// next call.
-func (e *eviction) victimsOn(w *worker, need resource.Resources) []*job {
-	room := e.available(w)
+// victimsOn returns the jobs to stop on w to make room for need, those with the least loss first. The slice is valid
+// until the next call.
+func (p *preemption) victimsOn(w *worker, need resource.Resources) []*job {
+	room := p.available(w)
 	if need.Fits(room) {
 		return nil
 	}
-	found := e.stoppable[:0]
+	found := p.stoppable[:0]
 	for _, o := range w.occupants {
-		if e.mayStop(o.job) {
+		if p.mayStop(o.job) {
 			found = append(found, o.job)
 		}
 	}
-	e.stoppable = found
+	p.stoppable = found
 	slices.SortFunc(found, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(e.core.loss(a), e.core.loss(b)), cmp.Compare(a.seq, b.seq))
+		return cmp.Or(cmp.Compare(p.core.loss(a), p.core.loss(b)), cmp.Compare(a.seq, b.seq))
 	})
 	victims := found[:0]
 	for _, v := range found {
@@ -200,7 +206,7 @@
 			break
 		}
 		gain := v.Shape.PerMember.Times(w.members(v))
-		if helps(gain, need, room) {
+		if reducesShortfall(gain, need, room) {
 			room = room.Add(gain)
 			victims = append(victims, v)
 		}
@@ -208,83 +214,83 @@
 	return victims
 }
 
-// helps reports whether gain contains some of what the need lacks in room.
-func helps(gain, need, room resource.Resources) bool {
+// reducesShortfall reports whether gain contains some of what need lacks in room.
+func reducesShortfall(gain, need, room resource.Resources) bool {
 	return gain.Accelerators > 0 && need.Accelerators > room.Accelerators ||
 		gain.MilliCPU > 0 && need.MilliCPU > room.MilliCPU ||
 		gain.MemoryMB > 0 && need.MemoryMB > room.MemoryMB
 }
 
-// find returns the placement with the least loss and that loss, nil if there is none.
-func (e *eviction) find() ([]*worker, float64) {
-	s := e.job.Shape
+// findPlacement returns the placement with the least loss, and that loss. The placement is nil if there is none.
+func (p *preemption) findPlacement() ([]*worker, float64) {
+	s := p.job.Shape
 	var best []*worker
 	var bestCost float64
-	try := func(workers []*worker, single bool) {
-		place, cost := e.within(workers, single)
-		if place != nil && (best == nil || cost < bestCost) {
-			best, bestCost = place, cost
+	try := func(workers []*worker, singleWorker bool) {
+		placement, cost := p.placeWithin(workers, singleWorker)
+		if placement != nil && (best == nil || cost < bestCost) {
+			best, bestCost = placement, cost
 		}
 	}
 	switch {
 	case s.Members == 1 || s.Adjacency == resource.AdjacencyWorker:
-		for i := range e.core.ordered {
-			try(e.core.ordered[i:i+1], true)
+		for i := range p.core.ordered {
+			try(p.core.ordered[i:i+1], true)
 		}
 	case s.Adjacency == resource.AdjacencyRack:
-		for _, k := range e.core.racks {
-			if k.accelerators >= s.Total().Accelerators {
-				try(k.workers, false)
+		for _, rk := range p.core.racks {
+			if rk.accelerators >= s.Total().Accelerators {
+				try(rk.workers, false)
 			}
 		}
 	default:
-		try(e.core.ordered, false)
+		try(p.core.ordered, false)
 	}
 	return best, bestCost
 }
 
-// within places the job on the given workers, those with the least loss per member first.
-func (e *eviction) within(workers []*worker, single bool) ([]*worker, float64) {
-	s := e.job.Shape
-	found := e.found[:0]
+// placeWithin places the job on the given workers, using those with the least loss per member first.
+func (p *preemption) placeWithin(workers []*worker, singleWorker bool) ([]*worker, float64) {
+	s := p.job.Shape
+	found := p.found[:0]
 	for _, w := range workers {
-		if !w.eligible() || e.job.failedOn(w) {
+		if !w.eligible() || p.job.failedOn(w) {
 			continue
 		}
-		now, reachable := e.rooms(w)
+		now, reachable := p.nowAndReachable(w)
 		n := min(fitCount(s.PerMember, reachable), s.Members)
-		if n == 0 || single && n < s.Members {
+		if n == 0 || singleWorker && n < s.Members {
 			continue
 		}
 		c := candidate{worker: w, fits: n}
 		if !s.PerMember.Times(n).Fits(now) {
-			c.score = unpriced
+			c.score = unknownCost
 		}
 		found = append(found, c)
 	}
-	e.found = found
+	p.found = found
 	if !enough(found, s.Members) {
 		return nil, 0
 	}
 	for i, f := range found {
-		if f.score == unpriced {
-			found[i].score = e.cost(f.worker, f.fits) / float64(f.fits)
+		if f.score == unknownCost {
+			found[i].score = p.cost(f.worker, f.fits) / float64(f.fits)
 		}
 	}
-	place := fill(found, s.Members)
+	placement := fill(found, s.Members)
 	total := 0.0
-	forEachWorker(place, func(w *worker, n int) { total += e.cost(w, n) })
-	return place, total
+	forEachWorker(placement, func(w *worker, n int) { total += p.cost(w, n) })
+	return placement, total
 }
 
-// stopFor plans the stops that make room for the placement.
-func (e *eviction) stopFor(placement []*worker, reason StopReason) {
+// stopVictims stops the jobs that keep the job from running on the placement.
+func (p *preemption) stopVictims(placement []*worker, reason StopReason) {
 	forEachWorker(placement, func(w *worker, n int) {
-		for _, v := range e.victimsOn(w, e.job.Shape.PerMember.Times(n)) {
+		for _, v := range p.victimsOn(w, p.job.Shape.PerMember.Times(n)) {
 			if reason == StopReservation {
-				v.stopsSuffered++
+				v.reservationStops++
 			}
-			e.core.stop(v, reason)
+			p.core.stop(v, reason)
 		}
 	})
 }
@@ -303,93 +309,94 @@
 	})
 }
 
-// checkpointBound is the time that a job gets to save its progress before a stop.
+// checkpointBound returns the time that a job gets to save its progress before a stop.
 func (c *Core) checkpointBound() time.Duration {
 	return time.Duration(float64(c.policy.ReclaimBoundMS) * checkpointShare * float64(time.Millisecond))
 }
 
-// claim takes an unclaimed cell for j, with free capacity or else by stops of borrowed work. It reports whether the
-// job was started or its claim is under way.
+// claim assigns an unclaimed cell to j, and either starts j on free capacity or stops borrowed work to make room. It
+// reports whether j was started or its claim is in progress.
 func (c *Core) claim(j *job, cl *cell) bool {
 	if c.options.noReclaim || !c.quotaReclaimable(j) {
 		return false
 	}
-	if place := c.freePlace(j, cl); place != nil && c.claimWithinQuota(j) {
-		c.moveCell(cl, place)
-		c.take(j, cl)
-		c.start(j, place)
+	if workers := c.findFreePlacement(j, cl); workers != nil && c.claimWithinQuota(j) {
+		c.moveBinding(cl, workers)
+		c.setClaim(j, cl)
+		c.start(j, workers)
 		return true
 	}
-	e := &eviction{core: c, job: j, cell: cl}
-	place := cl.place[:j.Shape.Members]
+	p := &preemption{core: c, job: j, cell: cl}
+	workers := cl.workers[:j.Shape.Members]
 	if cl.matches(j.Shape) {
-		place, _ = e.find()
+		workers, _ = p.findPlacement()
 	}
-	if place == nil {
+	if workers == nil {
 		return false
 	}
-	c.moveCell(cl, place)
-	c.take(j, cl)
+	c.moveBinding(cl, workers)
+	c.setClaim(j, cl)
 	c.reclaimQuota(j)
-	e.stopFor(place, StopReclaim)
-	c.setHold(j, &hold{placement: place, claim: true, since: c.now})
+	p.stopVictims(workers, StopReclaim)
+	c.setHold(j, &hold{placement: workers, claim: true, createdAt: c.now})
 	return true
 }
 
-// freePlace returns a free placement for the claim that keeps all bindings disjoint. The cell moves there, or trades
-// places with an unclaimed cell of the same shape that is free.
-func (c *Core) freePlace(j *job, cl *cell) []*worker {
+// findFreePlacement returns a free placement for the claim that keeps all bindings disjoint. The caller binds the cell
+// to it. If only another unclaimed cell of the same shape has free capacity, the two cells swap their bindings.
+func (c *Core) findFreePlacement(j *job, cl *cell) []*worker {
 	if !cl.matches(j.Shape) {
-		if place := cl.place[:j.Shape.Members]; fitsFree(place, j.Shape.PerMember) {
-			return place
+		if workers := cl.workers[:j.Shape.Members]; fitsFree(workers, j.Shape.PerMember) {
+			return workers
 		}
 		return nil
 	}
-	if place := c.find(&request{job: j, shape: cl.shape, cell: cl}); place != nil {
-		return place
+	if workers := c.findPlacement(&placementRequest{job: j, shape: cl.shape, cell: cl}); workers != nil {
+		return workers
 	}
 	for _, other := range c.cells {
-		if other.claim == nil && other != cl && other.place != nil && other.shape == cl.shape &&
-			fitsFree(other.place, cl.shape.PerMember) && !failedOnAny(j, other.place) {
-			c.trade(cl, other)
-			return cl.place
+		if other.claim == nil && other != cl && other.workers != nil && other.shape == cl.shape &&
+			fitsFree(other.workers, cl.shape.PerMember) && !failedOnAny(j, other.workers) {
+			c.swapBindings(cl, other)
+			return cl.workers
 		}
 	}
 	return nil
 }
 
-func failedOnAny(j *job, place []*worker) bool {
-	return slices.ContainsFunc(place, j.failedOn)
+func failedOnAny(j *job, placement []*worker) bool {
+	return slices.ContainsFunc(placement, j.failedOn)
 }
 
-// fitsFree reports whether every worker of the placement has room without a stop.
-func fitsFree(place []*worker, per resource.Resources) bool {
+// fitsFree reports whether the placement fits the free capacity of its workers.
+func fitsFree(placement []*worker, per resource.Resources) bool {
 	fits := true
-	forEachWorker(place, func(w *worker, n int) {
+	forEachWorker(placement, func(w *worker, n int) {
 		fits = fits && per.Times(n).Fits(w.free())
 	})
 	return fits
 }
 
-// trade exchanges the places of two unclaimed cells of one shape.
-func (c *Core) trade(a, b *cell) {
-	placeA, placeB := a.place, b.place
+// swapBindings exchanges the bindings of two unclaimed cells of the same shape.
+func (c *Core) swapBindings(a, b *cell) {
+	workersA, workersB := a.workers, b.workers
 	c.unbind(a)
 	c.unbind(b)
-	c.bind(a, placeB)
-	c.bind(b, placeA)
+	c.bind(a, workersB)
+	c.bind(b, workersA)
 }
 
-// moveCell binds an unclaimed cell to the placement of its claim.
-func (c *Core) moveCell(cl *cell, place []*worker) {
-	if len(place) < len(cl.place) || slices.Equal(cl.place, place) {
+// moveBinding binds an unclaimed cell to the placement of its claim. A placement of fewer members than the cell leaves
+// the binding as it is.
+func (c *Core) moveBinding(cl *cell, workers []*worker) {
+	if len(workers) < len(cl.workers) || slices.Equal(cl.workers, workers) {
 		return
 	}
 	c.unbind(cl)
-	c.bind(cl, place)
+	c.bind(cl, workers)
 }
 
-// claimWithinQuota reports whether the claim needs no stop of the account's other work.
+// claimWithinQuota reports whether the claim stays within the quota without stopping other work of the account.
 func (c *Core) claimWithinQuota(j *job) bool {
 	a := j.owner
 	return a.quota == 0 || a.used+a.claiming+j.Shape.Total().Accelerators <= a.quota
@@ -409,8 +416,8 @@
 	}
 }
 
-// quotaVictims returns the ordinary jobs of the account with the least loss whose stop keeps its claim within the
-// quota; ok is false if none suffice.
+// quotaVictims returns the ordinary jobs of the account to stop, those with the least loss first, so that the claim is
+// within the quota; ok is false if stopping all of them would not suffice.
 func (c *Core) quotaVictims(j *job) (victims []*job, ok bool) {
 	a := j.owner
 	if a.quota == 0 {
@@ -423,7 +430,7 @@
 	for _, v := range a.placed {
 		if v.stopPlanned {
 			over -= v.Shape.Total().Accelerators
-		} else if !v.hard() && v.cell == nil && v.startedIn != c.plans && v.Shape.Total().Accelerators > 0 {
+		} else if !v.unstoppable() && v.cell == nil && v.startedPlan != c.planCount && v.Shape.Total().Accelerators > 0 {
 			victims = append(victims, v)
 		}
 	}
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -6,40 +6,42 @@
 	"time"
 )
 
-// The limits of reservations.
+// Limits of reservations. Those named Waits are multiples of policy.max_wait_ms.
 const (
-	// maxReservations bounds the reservations at one time, so that they do not take the failure domain from small jobs.
+	// maxReservations is the maximum number of reservations at one time, so that small jobs can still use the failure
+	// domain.
 	maxReservations = 8
-	// reservedShare bounds the share of accelerators under reservations, except for a single one.
+	// reservedShare is the maximum share of accelerators under reservations. A single reservation may exceed it.
 	reservedShare = 0.5
-	// maxReservationStops caps how often one job is stopped for reservations; after that it runs to its end.
+	// maxReservationStops is how often one job may be stopped for reservations; after that it runs to its end.
 	maxReservationStops = 4
-	// lossShare is the share of the accelerator time for which the gang has waited that stops for it may lose. The
-	// allowance grows while the gang waits, so dear victims get time to end by themselves.
-	lossShare = 0.5
-	// reviewShare is the share of policy.max_wait_ms between two looks at the cost of an open reservation.
-	reviewShare = 0.5
-	// closeAfter is the number of policy.max_wait_ms after which a reservation is emptied whatever is lost.
-	closeAfter = 4
-	// closeAnyway is the number after which it is closed even if work remains there that may not be stopped. Until then
-	// backfill uses the capacity; without an end, backfill that may not be stopped would follow on itself for ever.
-	closeAnyway = 8
-	// singleWaits is the number of policy.max_wait_ms after which a job of one member with several accelerators gets a
-	// reservation. It needs one worker only, so the order of the queue serves it; at 12, most single jobs started through
-	// reservations in an overloaded run and those of one accelerator waited longest.
-	singleWaits = 48
-	// overdueWaits is the number of policy.max_wait_ms after which gangs get reservations in the order of their waits, and
-	// overdueRank a weight above that of any gang.
-	overdueWaits = 8
-	overdueRank  = 1e6
-	// patientAfter is the number of policy.max_wait_ms after which a gang may reserve capacity of work that may not be
-	// stopped, whose end has no bound.
-	patientAfter = 2
-	// reservationRetry is the share of policy.max_wait_ms after which a reservation that found no place is tried again.
-	reservationRetry = 0.25
+	// allowedLossShare is the work that stops for a gang may lose, as a share of the gang's accelerators times its
+	// wait. The allowance grows while the gang waits, so victims whose stop is expensive get time to end by themselves.
+	allowedLossShare = 0.5
+	// reviewIntervalWaits is the time between two reviews of the cost of an open reservation.
+	reviewIntervalWaits = 0.5
+	// closeWaits is the age at which a reservation is closed and its victims are stopped, however much work is lost.
+	closeWaits = 4
+	// forceCloseWaits is the age at which a reservation is closed even if it contains work that may not be stopped.
+	// Until then backfill uses the capacity; without this limit, backfill that may not be stopped could follow on
+	// itself for ever.
+	forceCloseWaits = 8
+	// singleMemberWaits is the wait after which a job of one member with several accelerators gets a reservation. The
+	// queue order serves such a job well, since it needs only one worker. At 12, in an overloaded run, most
+	// single-member jobs started through reservations, and jobs of one accelerator, which get none, waited longest.
+	singleMemberWaits = 48
+	// overdueWaits is the wait after which gangs get reservations in the order of their waits, and overduePriority a
+	// weight above that of any gang.
+	overdueWaits    = 8
+	overduePriority = 1e6
+	// reserveUnstoppableWaits is the wait after which a gang may reserve capacity used by work that may not be stopped,
+	// the end of which has no bound.
+	reserveUnstoppableWaits = 2
+	// reservationRetryWaits is the time after which the search for a reservation is repeated if it found no placement.
+	reservationRetryWaits = 0.25
 )
 
-// setHold takes a waiting job out of its queue and keeps capacity for it.
+// setHold removes a waiting job from its queue and keeps capacity for it.
 func (c *Core) setHold(j *job, h *hold) {
 	c.dequeue(j)
 	j.hold = h
@@ -47,18 +49,18 @@
 	c.countHold(j, 1)
 }
 
-// dropHold gives the capacity back. The caller enqueues, starts or ends the job.
-func (c *Core) dropHold(j *job) {
+// removeHold releases the capacity of a hold. The caller must enqueue, start or end the job.
+func (c *Core) removeHold(j *job) {
 	c.countHold(j, -1)
 	for _, w := range j.hold.placement {
-		c.touch(w, true)
+		c.markChanged(w, true)
 	}
 	j.hold = nil
 	i := slices.Index(c.holds, j)
 	c.holds = slices.Delete(c.holds, i, i+1)
 }
 
-// countHold adds the needs of a hold to its workers, or takes them away with sign -1.
+// countHold adds the resources of a hold to its workers and account, or subtracts them if sign is -1.
 func (c *Core) countHold(j *job, sign int) {
 	h := j.hold
 	a := j.owner
@@ -69,7 +71,7 @@
 	forEachWorker(h.placement, func(w *worker, n int) {
 		need := j.Shape.PerMember.Times(sign * n)
 		switch {
-		case h.claim && c.options.forgetHeld:
+		case h.claim && c.options.ignoreHeld:
 		case h.claim:
 			w.held = w.held.Add(need)
 		default:
@@ -78,11 +80,12 @@
 				w.closed = w.closed.Add(need)
 			}
 		}
-		c.touch(w, false)
+		c.markChanged(w, false)
 	})
 }
 
-// startHeld starts the held jobs whose capacity is there, claims first, and repairs holds that lost capacity.
+// startHeld processes all holds, claims first: it starts the jobs whose capacity is free, and repairs or abandons holds
+// that lost capacity.
 func (c *Core) startHeld() {
 	if len(c.holds) == 0 {
 		return
@@ -95,7 +98,7 @@
 			}
 			return 1
 		}
-		return cmp.Or(a.arrived.Compare(b.arrived), cmp.Compare(a.seq, b.seq))
+		return cmp.Or(a.submittedAt.Compare(b.submittedAt), cmp.Compare(a.seq, b.seq))
 	})
 	for _, j := range held {
 		if j.hold == nil {
@@ -105,11 +108,12 @@
 	}
 }
 
-// advanceHold starts the job, closes its reservation at the deadline, or gives the hold up if its workers failed.
+// advanceHold starts the job if its placement is free, and otherwise plans further stops, moves the job to other free
+// capacity or reviews its reservation. It abandons the hold if its workers became unusable or its reservation expired.
 func (c *Core) advanceHold(j *job) {
 	h := j.hold
-	if !usableBy(j, h.placement) || c.overdue(h) {
-		c.giveUpHold(j)
+	if !usableBy(j, h.placement) || c.reservationExpired(h) {
+		c.abandonHold(j)
 		return
 	}
 	c.countHold(j, -1)
@@ -117,35 +121,35 @@
 	c.countHold(j, 1)
 	if ready && c.quotaAllowsHeld(j) {
 		placement := h.placement
-		c.dropHold(j)
+		c.removeHold(j)
 		c.start(j, placement)
 		return
 	}
 	if h.claim {
-		c.repairStops(j)
+		c.stopFurtherVictims(j)
 		return
 	}
 	if h.closed {
-		c.repairStops(j)
+		c.stopFurtherVictims(j)
 	}
-	if place := c.findElsewhere(j); place != nil {
-		c.dropHold(j)
-		c.start(j, place)
+	if workers := c.findElsewhere(j); workers != nil {
+		c.removeHold(j)
+		c.start(j, workers)
 		return
 	}
-	if !h.closed && !c.now.Before(h.review) {
-		c.reviewOnce(j)
+	if !h.closed && !c.now.Before(h.reviewAt) {
+		c.reviewIfFirstInPlan(j)
 	}
 }
 
-// overdue reports whether a closed reservation has waited so long that another place may be better.
-func (c *Core) overdue(h *hold) bool {
-	return !h.claim && h.closed && c.now.Sub(h.since) > c.waits(2*closeAnyway)
+// reservationExpired reports whether a closed reservation has waited so long that another placement may be better.
+func (c *Core) reservationExpired(h *hold) bool {
+	return !h.claim && h.closed && c.now.Sub(h.createdAt) > c.maxWaits(2*forceCloseWaits)
 }
 
-// giveUpHold lets the job wait in its queue again.
-func (c *Core) giveUpHold(j *job) {
-	c.dropHold(j)
+// abandonHold releases the hold and the claim of a job and returns it to its queue.
+func (c *Core) abandonHold(j *job) {
+	c.removeHold(j)
 	c.releaseCell(j)
 	c.enqueue(j)
 }
@@ -160,7 +164,7 @@
 	return true
 }
 
-// ready reports whether the held placement is free. The hold itself must not be counted at the time.
+// ready reports whether the held placement is free. The hold itself must not be counted during the call.
 func (c *Core) ready(j *job) bool {
 	h := j.hold
 	ok := true
@@ -169,15 +173,15 @@
 		if h.claim {
 			room = w.capacity.Sub(w.used)
 		}
-		if !h.claim && j.hard() {
-			room = atMost(room, w.entitled(nil))
+		if !h.claim && j.unstoppable() {
+			room = minResources(room, w.bindable(nil))
 		}
 		ok = ok && j.Shape.PerMember.Times(n).Fits(room)
 	})
 	return ok
 }
 
-// quotaAllowsHeld reports whether the account stays within its quota when the held job starts.
+// quotaAllowsHeld reports whether the account stays within its quota if the held job starts.
 func (c *Core) quotaAllowsHeld(j *job) bool {
 	a := j.owner
 	need := j.Shape.Total().Accelerators
@@ -187,51 +191,51 @@
 	return a.used+need <= a.quota && (j.cell != nil || c.unstoppableWithinQuota(j))
 }
 
-// repairStops plans further stops if the ones under way do not make enough room any more.
-func (c *Core) repairStops(j *job) {
+// stopFurtherVictims plans additional stops if those in progress no longer make enough room.
+func (c *Core) stopFurtherVictims(j *job) {
 	h := j.hold
-	e := &eviction{core: c, job: j, cell: j.cell}
+	p := &preemption{core: c, job: j, cell: j.cell}
 	c.countHold(j, -1)
 	reason := StopReservation
 	if h.claim {
 		reason = StopReclaim
 		c.reclaimQuota(j)
 	}
-	e.stopFor(h.placement, reason)
+	p.stopVictims(h.placement, reason)
 	c.countHold(j, 1)
 }
 
-// findElsewhere returns free capacity for a job with an open reservation.
+// findElsewhere returns free capacity for a job with a reservation, nil if there is none.
 func (c *Core) findElsewhere(j *job) []*worker {
-	if !c.rackFreedSince(j.hold) || !c.quotaAllowsHeld(j) {
+	if !c.capacityFreedSince(j.hold) || !c.quotaAllowsHeld(j) {
 		return nil
 	}
 	c.countHold(j, -1)
-	place := c.find(c.request(j))
+	placement := c.findPlacement(c.placementRequest(j))
 	c.countHold(j, 1)
-	j.hold.checked = c.seq
-	return place
+	j.hold.checkedSeq = c.seq
+	return placement
 }
 
-// rackFreedSince reports whether capacity was freed since the last search for the held job.
-func (c *Core) rackFreedSince(h *hold) bool { return c.seq > h.checked }
+// capacityFreedSince reports whether capacity was freed since the last search for the held job.
+func (c *Core) capacityFreedSince(h *hold) bool { return c.seq > h.checkedSeq }
 
-// closeReservation stops what still runs on the reserved capacity.
+// closeReservation closes a reservation to backfill and stops the jobs on the reserved capacity.
 func (c *Core) closeReservation(j *job) {
 	c.countHold(j, -1)
 	j.hold.closed = true
-	e := &eviction{core: c, job: j}
-	e.stopFor(j.hold.placement, StopReservation)
+	p := &preemption{core: c, job: j}
+	p.stopVictims(j.hold.placement, StopReservation)
 	c.countHold(j, 1)
 }
 
-// reserve makes a reservation for the gang that is blocked most. One plan makes at most one, which bounds its time; the
-// next one follows soon.
+// reserve makes a reservation for the blocked gang with the highest priority. It makes at most one per plan to bound
+// the time of a plan, and requests the next plan soon.
 func (c *Core) reserve() {
 	if c.options.noReservations {
 		return
 	}
-	if !c.reservationRoom() {
+	if !c.mayReserve() {
 		return
 	}
 	if j := c.mostBlocked(); j != nil {
@@ -240,8 +244,8 @@
 	}
 }
 
-// reservationRoom reports whether another reservation is within the limits.
-func (c *Core) reservationRoom() bool {
+// mayReserve reports whether another reservation is within the limits.
+func (c *Core) mayReserve() bool {
 	n, accelerators, all := 0, 0, 0
 	for _, j := range c.holds {
 		if !j.hold.claim {
@@ -249,50 +253,51 @@
 			accelerators += j.Shape.Total().Accelerators
 		}
 	}
-	for _, k := range c.racks {
-		all += k.accelerators
+	for _, rk := range c.racks {
+		all += rk.accelerators
 	}
 	return n == 0 || n < maxReservations && float64(accelerators) < reservedShare*float64(all)
 }
 
-// gang reports whether a job can be starved by smaller ones.
-func gang(j *job) bool {
+// canStarve reports whether smaller jobs can starve the job.
+func canStarve(j *job) bool {
 	return j.Shape.Members > 1 || j.Shape.PerMember.Accelerators > 1
 }
 
-// mostBlocked returns the gang past the bound with the most accelerator time of waiting, nil if there is none. A small
-// gang that waits goes ahead of larger ones in the end.
+// mostBlocked returns the job with the highest reservation priority among those that have waited long enough for a
+// reservation, nil if there is none. The priority grows with the wait, so a small gang eventually precedes larger ones.
 func (c *Core) mostBlocked() *job {
 	var first *job
-	var most float64
-	for _, cl := range c.active {
-		j := cl.longest()
-		if !gang(j) || c.now.Before(c.reservationDue(cl)) || c.now.Before(j.notBefore) || !c.withinQuota(j) {
+	var highest float64
+	for _, q := range c.active {
+		j := q.longestWaiting()
+		if !canStarve(j) || c.now.Before(c.reservationDue(q)) || c.now.Before(j.notBefore) || !c.withinQuota(j) {
 			continue
 		}
-		if urgency := c.blockedFor(j); first == nil || urgency > most {
-			first, most = j, urgency
+		if priority := c.reservationPriority(j); first == nil || priority > highest {
+			first, highest = j, priority
 		}
 	}
 	return first
 }
 
-// blockedFor ranks blocked gangs by the accelerator time for which they waited. One that waited past overdueWaits goes
-// ahead of all others, so that larger gangs cannot hold it back for ever.
-func (c *Core) blockedFor(j *job) float64 {
+// reservationPriority returns the accelerators of a blocked gang times its wait. A gang that waited longer than
+// overdueWaits precedes all others, so that larger gangs cannot delay it for ever.
+func (c *Core) reservationPriority(j *job) float64 {
 	waited := c.now.Sub(j.waitingSince)
-	rank := c.weightOf(j) * waited.Seconds()
-	if waited >= c.waits(overdueWaits) {
-		rank = overdueRank * waited.Seconds()
+	priority := c.acceleratorWeight(j) * waited.Seconds()
+	if waited >= c.maxWaits(overdueWaits) {
+		priority = overduePriority * waited.Seconds()
 	}
-	return rank
+	return priority
 }
 
-// longest returns the job of a class that has waited longest since its submission or its last stop. Jobs that were
-// stopped come first in the queue with a new wait; the first one that never ran has waited longest among those.
-func (cl *class) longest() *job {
-	oldest := cl.head
-	for j := cl.head; j != nil; j = j.next {
+// longestWaiting returns the job of a class that has waited longest since its submission or its last stop. Jobs that
+// were stopped are first in the queue although their wait began anew; of the jobs that never ran, the first has waited
+// longest.
+func (q *class) longestWaiting() *job {
+	oldest := q.head
+	for j := q.head; j != nil; j = j.next {
 		if j.waitingSince.Before(oldest.waitingSince) {
 			oldest = j
 		}
@@ -303,94 +308,94 @@
 	return oldest
 }
 
-// reservationDue returns when a job of a class may get a reservation.
-func (c *Core) reservationDue(cl *class) time.Time {
-	j := cl.longest()
+// reservationDue returns the earliest time at which a job of the class may get a reservation.
+func (c *Core) reservationDue(q *class) time.Time {
+	j := q.longestWaiting()
 	due := j.waitingSince.Add(c.maxWait())
 	if j.Shape.Members == 1 {
-		due = j.waitingSince.Add(c.waits(singleWaits))
+		due = j.waitingSince.Add(c.maxWaits(singleMemberWaits))
 	}
-	if due.Before(cl.retryReserve) {
-		return cl.retryReserve
+	if due.Before(q.reservationRetryAt) {
+		return q.reservationRetryAt
 	}
 	return due
 }
 
-// reserveFor reserves the place with the least loss for a gang. Where the loss is within the allowance, its victims are
-// stopped at once; otherwise they get time to end by themselves.
+// reserveFor reserves the placement with the least loss for a gang. If the loss is within the allowance, the victims
+// are stopped at once; otherwise they get time to end by themselves.
 func (c *Core) reserveFor(j *job) {
-	place, cost, strict := c.placeByStops(j)
-	if place == nil {
-		j.class.retryReserve = c.now.Add(c.waits(reservationRetry))
+	workers, cost, stopsOnly := c.findByStopping(j)
+	if workers == nil {
+		j.class.reservationRetryAt = c.now.Add(c.maxWaits(reservationRetryWaits))
 		return
 	}
-	h := &hold{placement: place, since: c.now, deadline: c.now.Add(c.waits(closeAfter))}
+	h := &hold{placement: workers, createdAt: c.now, deadline: c.now.Add(c.maxWaits(closeWaits))}
 	c.setHold(j, h)
-	c.settleReservation(j, cost, strict)
+	c.closeOrScheduleReview(j, cost, stopsOnly)
 }
 
-// placeByStops returns the place for a reservation with the least loss. Strict places need only stops; others wait for
-// work that may not be stopped.
-func (c *Core) placeByStops(j *job) (place []*worker, cost float64, strict bool) {
-	e := &eviction{core: c, job: j}
-	place, cost = e.find()
-	if place != nil || c.now.Sub(j.waitingSince) < c.waits(patientAfter) {
-		return place, cost, true
-	}
-	e.patient = true
-	place, cost = e.find()
-	return place, cost, false
+// findByStopping returns the placement for a reservation with the least loss. If stopsOnly is true, stops alone free
+// the placement; otherwise it also has to wait for work that may not be stopped.
+func (c *Core) findByStopping(j *job) (placement []*worker, cost float64, stopsOnly bool) {
+	p := &preemption{core: c, job: j}
+	placement, cost = p.findPlacement()
+	if placement != nil || c.now.Sub(j.waitingSince) < c.maxWaits(reserveUnstoppableWaits) {
+		return placement, cost, true
+	}
+	p.waitForUnstoppable = true
+	placement, cost = p.findPlacement()
+	return placement, cost, false
 }
 
-// settleReservation closes a reservation whose cost is within the allowance or whose time is up, and otherwise sets the
-// time of its next review.
-func (c *Core) settleReservation(j *job, cost float64, strict bool) {
+// closeOrScheduleReview closes a reservation if its cost is within the allowance or its deadline has passed, and
+// otherwise schedules its next review.
+func (c *Core) closeOrScheduleReview(j *job, cost float64, stopsOnly bool) {
 	h := j.hold
-	allowance := lossShare * c.weightOf(j) * c.now.Sub(j.waitingSince).Seconds()
-	last := h.since.Add(c.waits(closeAnyway))
-	if strict && (cost <= allowance || !c.now.Before(h.deadline)) || !c.now.Before(last) {
+	allowance := allowedLossShare * c.acceleratorWeight(j) * c.now.Sub(j.waitingSince).Seconds()
+	last := h.createdAt.Add(c.maxWaits(forceCloseWaits))
+	if stopsOnly && (cost <= allowance || !c.now.Before(h.deadline)) || !c.now.Before(last) {
 		c.closeReservation(j)
 		return
 	}
-	h.review = c.now.Add(c.waits(reviewShare))
+	h.reviewAt = c.now.Add(c.maxWaits(reviewIntervalWaits))
 }
 
-// reviewOnce reviews at most one reservation per plan; the others follow soon.
-func (c *Core) reviewOnce(j *job) {
-	if c.reviewedIn == c.plans {
+// reviewIfFirstInPlan reviews at most one reservation per plan; the others are reviewed in the plans that follow soon.
+func (c *Core) reviewIfFirstInPlan(j *job) {
+	if c.reviewedPlan == c.planCount {
 		c.recheck = true
 		return
 	}
-	c.reviewedIn = c.plans
+	c.reviewedPlan = c.planCount
 	c.reviewReservation(j)
 }
 
-// reviewReservation moves an open reservation to the place with the least loss now, and closes it if it is due.
+// reviewReservation moves an open reservation to the placement with the least loss now, and closes it if that is due.
 func (c *Core) reviewReservation(j *job) {
 	h := j.hold
 	c.countHold(j, -1)
-	place, cost, strict := c.placeByStops(j)
-	if place != nil {
+	workers, cost, stopsOnly := c.findByStopping(j)
+	if workers != nil {
 		for _, w := range h.placement {
-			c.touch(w, true)
+			c.markChanged(w, true)
 		}
-		h.placement = place
+		h.placement = workers
 	}
 	c.countHold(j, 1)
-	c.settleReservation(j, cost, strict && place != nil)
+	c.closeOrScheduleReview(j, cost, stopsOnly && workers != nil)
 }
 
-// waits returns a multiple of policy.max_wait_ms.
-func (c *Core) waits(n float64) time.Duration { return time.Duration(n * float64(c.maxWait())) }
+// maxWaits returns n times policy.max_wait_ms.
+func (c *Core) maxWaits(n float64) time.Duration { return time.Duration(n * float64(c.maxWait())) }
 
-// untilClose returns the time until the first open reservation may close, as of the first call in a plan; ok is false if
-// there is none.
+// untilClose returns the time until the first open reservation may close, computed once per plan; ok is false if none
+// is open.
 func (c *Core) untilClose() (d time.Duration, ok bool) {
-	if c.closeKnownIn == c.plans {
-		return c.closeIn, c.closeOpen
+	if c.untilClosePlan == c.planCount {
+		return c.untilCloseValue, c.untilCloseFound
 	}
 	d, ok = c.computeUntilClose()
-	c.closeIn, c.closeOpen, c.closeKnownIn = d, ok, c.plans
+	c.untilCloseValue, c.untilCloseFound, c.untilClosePlan = d, ok, c.planCount
 	return d, ok
 }
 
@@ -399,7 +404,7 @@
 		if j.hold.claim || j.hold.closed {
 			continue
 		}
-		left := j.hold.review.Sub(c.now)
+		left := j.hold.reviewAt.Sub(c.now)
 		if !ok || left < d {
 			d, ok = left, true
 		}
@@ -407,17 +412,17 @@
 	return d, ok
 }
 
-// backfills reports whether j may use reserved capacity: it can be stopped, and the stop either loses nothing or most
-// jobs of its kind end before the next review of a reservation. Where that is wrong, the loss is capped by the
-// allowance of the reservation and, past it, by its deadline.
+// backfills reports whether j may use reserved capacity: it must be stoppable, and either lose no progress when stopped
+// or be estimated to end before the next review of a reservation. If the estimate is wrong, the loss is limited by the
+// allowance of the reservation, and after that by its deadline.
 func (c *Core) backfills(j *job) bool {
-	if j.hard() || j.stopsSuffered >= maxReservationStops {
+	if j.unstoppable() || j.reservationStops >= maxReservationStops {
 		return false
 	}
 	left, ok := c.untilClose()
 	if !ok || j.CanCheckpoint {
 		return ok
 	}
-	run, known := c.learned(j)
+	run, known := c.estimatedRunTime(j)
 	return known && run <= left
 }
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -144,7 +144,7 @@
 	f := newFixture(t, 8, nil)
 	f.submit("bad", "a", shape(1, 8, resource.AdjacencyNone))
 	seen := map[string]bool{}
-	for range anyFailures {
+	for range maxFailedWorkers {
 		f.after(maxRetryDelay)
 		p := f.run()
 		if len(p.Starts) != 1 {
@@ -180,8 +180,8 @@
 	f.state("once", jobs.StateWaiting)
 	f.state("trial", jobs.StateRunning)
 	f.end("trial", Result{Kind: ResultCompleted})
-	if w.conduct.phase != phaseTrusted {
-		t.Errorf("phase %d after a good trial", w.conduct.phase)
+	if w.standing.phase != phaseTrusted {
+		t.Errorf("phase %d after a good trial", w.standing.phase)
 	}
 }
 
@@ -208,7 +208,7 @@
 		"capacity":   {nil, func(f *fixture) { f.submit("x", "b", shape(8, 8, resource.AdjacencyNone)) }, eight, nil, "capacity: 0 of 1"},
 		"guarantees": {guarantee("b", 8, eight), func(*fixture) {}, eight, []kind{once}, "bound to guarantees"},
 		"reclaim": {guarantee("a", 1, eight), func(f *fixture) { f.submit("x", "b", shape(8, 8, resource.AdjacencyNone)) },
-			eight, nil, "reclaim of its guarantee under way"},
+			eight, nil, "reclaim of its guarantee in progress"},
 		"degraded": {guarantee("a", 1, rack), func(f *fixture) {
 			for _, id := range []string{"w-00", "w-04"} {
 				f.core.SetWorkerHealth(id, HealthUnreachable, f.now)
@@ -252,7 +252,7 @@
 		f.end(id, Result{Kind: ResultCompleted})
 	}
 	f.submit("next", "a", shape(1, 1, resource.AdjacencyNone))
-	if d, ok := f.core.learned(f.core.jobs["next"]); !ok || d != time.Hour {
+	if d, ok := f.core.estimatedRunTime(f.core.jobs["next"]); !ok || d != time.Hour {
 		t.Errorf("learned %v (%v), want 1h", d, ok)
 	}
 }
@@ -270,7 +270,7 @@
 	}
 	f.submit("gang", "a", shape(4, 8, resource.AdjacencyRack))
 	f.run()
-	f.after(patientAfter * time.Minute)
+	f.after(reserveUnstoppableWaits * time.Minute)
 	f.run()
 	held := f.core.jobs["gang"].hold
 	if held == nil || held.claim {
--- a/scheduler/learn.go
+++ b/scheduler/runtimes.go
@@ -8,18 +8,18 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// The learned run times.
+// Parameters of run time estimates.
 const (
-	// runSamples is the number of latest run times kept per account and class.
+	// runSamples is the number of latest run times kept per account and size class.
 	runSamples = 64
-	// minRunSamples is the number of run times from which a quantile is used at all.
+	// minRunSamples is the number of run times required for an estimate.
 	minRunSamples = 5
-	// runQuantilePercent is the share of jobs that end within the learned run time.
+	// runQuantilePercent is the share of jobs that end within the estimated run time.
 	runQuantilePercent = 80
 )
 
-// runTimes holds the latest run times of one account and size class. Declared run times are wrong by up to ten times
-// either way, so they are not used.
+// runTimes holds the latest run times of one account and size class. Declared run times are not used, because they are
+// wrong by a factor of up to ten in either direction.
 type runTimes struct {
 	samples  []time.Duration
 	next     int
@@ -42,7 +42,7 @@
 	r.quantile = sorted[(len(sorted)-1)*runQuantilePercent/100]
 }
 
-// sizeClass groups shapes whose accelerators, or else members, agree up to a factor of two.
+// sizeClass groups shapes by their accelerators, or by their members if they have none, in powers of two.
 func sizeClass(s resource.Shape) int {
 	if n := s.Total().Accelerators; n > 0 {
 		return bits.Len(uint(n))
@@ -50,9 +50,9 @@
 	return -bits.Len(uint(s.Members))
 }
 
-// learn records how long a completed attempt of j ran.
-func (c *Core) learn(j *job, now time.Time) {
-	if j.ranSince.IsZero() {
+// recordRunTime records the run time of a completed attempt of j.
+func (c *Core) recordRunTime(j *job, now time.Time) {
+	if j.runningSince.IsZero() {
 		return
 	}
 	a := j.owner
@@ -60,11 +60,12 @@
 	if a.runs[k] == nil {
 		a.runs[k] = &runTimes{}
 	}
-	a.runs[k].add(now.Sub(j.ranSince))
+	a.runs[k].add(now.Sub(j.runningSince))
 }
 
-// learned returns the run time within which most jobs like j end; ok is false while too few have ended.
-func (c *Core) learned(j *job) (d time.Duration, ok bool) {
+// estimatedRunTime returns the run time within which most jobs like j end; ok is false while too few of them have
+// ended.
+func (c *Core) estimatedRunTime(j *job) (d time.Duration, ok bool) {
 	r := j.owner.runs[sizeClass(j.Shape)]
 	if r == nil || len(r.samples) < minRunSamples {
 		return 0, false
--- a/scheduler/scenario_test.go
+++ b/scheduler/scenario_test.go
@@ -326,17 +326,17 @@
 		want    string
 	}{
 		"lending":       {options{lendToUnstoppable: true}, "P1"},
-		"rebinding":     {options{keepBindings: true}, "P1"},
+		"rebinding":     {options{noRebinding: true}, "P1"},
 		"reclaim":       {options{noReclaim: true}, "claim"},
-		"holding":       {options{forgetHeld: true}, "claim"},
+		"holding":       {options{ignoreHeld: true}, "claim"},
 		"reservations":  {options{noReservations: true}, "waits"},
 		"quota":         {options{noQuota: true}, "quota"},
 		"run once":      {options{restartRunOnce: true}, "run once"},
 		"unreachable":   {options{placeOnUnreachable: true}, "unreachable"},
 		"adjacency":     {options{ignoreAdjacency: true}, "adjacency"},
 		"quarantine":    {options{noQuarantine: true}, "bad worker"},
-		"bursts":        {options{blameEveryWorker: true}, "mistaken"},
-		"condemnation":  {options{noCondemnation: true}, "condemned"},
+		"bursts":        {options{noFailureConfirmation: true}, "mistaken"},
+		"condemnation":  {options{noPermanentFailure: true}, "condemned"},
 		"unlimited":     {options{noQuarantineBound: true}, "quarantine bound"},
 		"stop the rest": {options{stopUnstoppable: true}, "unstoppable"},
 	}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -20,50 +20,50 @@
 	rack     *rack
 	capacity resource.Resources
 	health   Health
-	// drained marks a worker that the configuration asks to empty.
+	// drained marks a worker that the configuration drains.
 	drained bool
-	// removed marks a worker that left the configuration while tasks ran on it.
+	// removed marks a worker that is not in the configuration but may still run tasks.
 	removed bool
-	// used sums the members placed here, whatever their state.
+	// used sums the members placed here in any state.
 	used resource.Resources
-	// hard sums the members of unstoppable jobs that hold no cell.
-	hard resource.Resources
+	// unstoppable sums the members of unstoppable jobs that claim no cell.
+	unstoppable resource.Resources
 	// bound sums the cell members bound here, claimed or not.
 	bound resource.Resources
 	// unclaimed is the part of bound that no job claims.
 	unclaimed resource.Resources
-	// held sums the needs of claims whose victims are being stopped; nobody else may start there.
+	// held sums the resources of claims whose victims are being stopped; no other job may start there.
 	held resource.Resources
-	// reserved sums the needs of reservations; only backfill may start there.
+	// reserved sums the resources of reservations; only backfill may start there.
 	reserved resource.Resources
 	// closed is the part of reserved whose victims are being stopped; not even backfill may start there.
 	closed    resource.Resources
 	occupants []occupant
 	cells     []*cell
-	conduct   conduct
+	standing  standing
 }
 
 // eligible reports whether work may be placed on the worker.
 func (w *worker) eligible() bool {
-	return w.healthy() && w.conduct.phase == phaseTrusted
+	return w.healthy() && w.standing.phase == phaseTrusted
 }
 
-// healthy reports whether the worker is reachable and to stay.
+// healthy reports whether the worker is reachable and not leaving.
 func (w *worker) healthy() bool {
 	return w.health == HealthUp && !w.drained && !w.removed
 }
 
-// leaving reports whether the worker is to be emptied.
+// leaving reports whether the worker must be drained.
 func (w *worker) leaving() bool {
 	return w.health == HealthLeaving || w.drained || w.removed
 }
 
-// free returns what nobody uses and no job under way holds; components may be negative.
+// free returns the capacity that no member uses and no claim in progress holds; its components may be negative.
 func (w *worker) free() resource.Resources {
 	return w.capacity.Sub(w.used).Sub(w.held)
 }
 
-// addOccupant counts n members of j.
+// addOccupant adds n members of j.
 func (w *worker) addOccupant(j *job, n int) {
 	for i := range w.occupants {
 		if w.occupants[i].job == j {
@@ -84,7 +84,7 @@
 	return 0
 }
 
-// removeOccupant forgets all members of j and returns how many there were.
+// removeOccupant removes all members of j and returns their number.
 func (w *worker) removeOccupant(j *job) int {
 	for i := range w.occupants {
 		if w.occupants[i].job != j {
@@ -100,24 +100,25 @@
 	return 0
 }
 
-// rack groups the workers that count as adjacent.
+// rack is a group of workers that count as adjacent.
 type rack struct {
 	name    string
 	index   int
 	workers []*worker
-	// freed is the sequence number of the last change that can make a blocked job fit here.
+	// freed is the sequence number of the last change after which a blocked job may fit here.
 	freed uint64
-	// stale marks limit as out of date.
+	// stale marks limit and total as out of date.
 	stale bool
-	// limit is the componentwise largest free amount of any worker that may get work.
+	// limit is the componentwise maximum of the free resources of any worker that may get work.
 	limit resource.Resources
-	// total is the sum of the free accelerators of eligible workers, accelerators that of all its workers.
+	// total is the sum of the free accelerators of workers that may get work, and accelerators that of all
+	// accelerators.
 	total, accelerators int
-	// settled sums the accelerators of ordinary jobs that lose their progress when stopped.
-	settled int
+	// uncheckpointed sums the accelerators of placed jobs that lose their progress when stopped.
+	uncheckpointed int
 }
 
-// refresh recomputes the aggregates after a change on one of the workers.
+// refresh recomputes the aggregates if a worker changed.
 func (r *rack) refresh() {
 	if !r.stale {
 		return
@@ -126,7 +127,7 @@
 	r.limit = resource.Resources{}
 	r.total = 0
 	for _, w := range r.workers {
-		if !w.healthy() || w.conduct.phase == phaseQuarantined {
+		if !w.healthy() || w.standing.phase == phaseQuarantined {
 			continue
 		}
 		f := w.free()
@@ -146,43 +147,43 @@
 	attempt uint64
 	reason  string
 	class   *class
-	// arrived is when the job was submitted to the core; key orders the waiting jobs, a smaller key goes first.
-	arrived, key time.Time
-	prev, next   *job
+	// submittedAt is when the job was submitted to the core. key orders the waiting jobs; the earliest goes first.
+	submittedAt, key time.Time
+	prev, next       *job
 	// placement lists the worker of each member while the job is placed.
 	placement []*worker
 	// cell is the guarantee's cell that the job claims, nil if it runs as ordinary work.
 	cell *cell
-	// hold is the placement for which victims are being stopped or that is reserved, nil if there is none.
+	// hold is the capacity kept for the waiting job, nil if there is none.
 	hold *hold
-	// began is when the present attempt was started; ranSince when all its members ran.
-	began, ranSince time.Time
-	waitingSince    time.Time
-	// startedIn is the number of the plan that started the present attempt. The same plan must not stop it, since the
-	// shell carries out stops before starts.
-	startedIn   uint64
+	// startedAt is when the current attempt was started, and runningSince when all its members ran.
+	startedAt, runningSince time.Time
+	waitingSince            time.Time
+	// startedPlan is the number of the plan that started the current attempt. The same plan must not stop it, since the
+	// caller carries out stops before starts.
+	startedPlan uint64
 	cancelled   bool
 	stopPlanned bool
-	// placedAt is the index in account.placed.
-	placedAt int
-	// stopsSuffered counts stops for reservations, which are capped.
-	stopsSuffered int
-	// lost is the loss of a stop as of the plan numbered lostIn.
-	lost   float64
-	lostIn uint64
-	// movedAt is the time of the last consolidation that moved the job.
+	// placedIndex is the index in account.placed.
+	placedIndex int
+	// reservationStops counts stops for reservations, which are limited by maxReservationStops.
+	reservationStops int
+	// lossValue is the loss caused by a stop, as computed in the plan numbered lossPlan.
+	lossValue float64
+	lossPlan  uint64
+	// movedAt is the time at which consolidation last moved the job.
 	movedAt      time.Time
 	failures     []failure
 	failureCount int
-	// notBefore delays the next attempt after a failure.
+	// notBefore is the earliest time of the next attempt after a failure or a refusal.
 	notBefore time.Time
 }
 
-// hard reports whether the job may not be stopped for anybody.
-func (j *job) hard() bool { return !j.Stoppable() }
+// unstoppable reports whether the job must not be stopped to make room for other work.
+func (j *job) unstoppable() bool { return !j.Stoppable() }
 
-// settledOn returns the accelerators of n members that lose their progress when stopped.
-func (j *job) settledOn(n int) int {
+// uncheckpointedOn returns the accelerators of n members if the job loses its progress when stopped, and otherwise none.
+func (j *job) uncheckpointedOn(n int) int {
 	if j.CanCheckpoint {
 		return 0
 	}
@@ -202,14 +203,14 @@
 	return false
 }
 
-// size is the amount by which jobs are compared as large or small: accelerators first, then members.
+// size returns the value by which jobs are compared as larger or smaller: accelerators first, then members.
 func (j *job) size() int { return sizeOf(j.Shape) }
 
 func sizeOf(s resource.Shape) int {
 	return s.Members*s.PerMember.Accelerators*resource.MaxMembers + s.Members
 }
 
-// forEachWorker calls f once for each distinct worker of a placement with its number of members.
+// forEachWorker calls f once for each distinct worker of a placement, with the number of its members there.
 func forEachWorker(placement []*worker, f func(w *worker, members int)) {
 	for i, w := range placement {
 		if w == nil || seenBefore(placement, i) {
@@ -239,20 +240,20 @@
 	name  string
 	quota int
 	known bool
-	// guaranteed is the sum of accelerators of all guarantees here.
+	// guaranteed sums the accelerators of all guarantees in this failure domain.
 	guaranteed int
-	// used sums the accelerators of placed jobs; hardUsed those of unstoppable jobs without a cell.
-	used, hardUsed int
+	// used sums the accelerators of placed jobs; unstoppableUsed sums those of unstoppable jobs without a cell.
+	used, unstoppableUsed int
 	// holding sums the accelerators that jobs with a hold will use; claiming is the part of claims.
 	holding, claiming int
 	cells             []*cell
-	// placed lists the jobs that use resources, in no particular but a reproducible order.
+	// placed lists the jobs that use resources, in an arbitrary but reproducible order.
 	placed []*job
 	runs   map[int]*runTimes
 }
 
-// touch records that capacity of w changed; freed says that more may fit now.
-func (c *Core) touch(w *worker, freed bool) {
+// markChanged records that the capacity of w changed; freed says that more work may fit now.
+func (c *Core) markChanged(w *worker, freed bool) {
 	w.rack.stale = true
 	if freed {
 		c.seq++
@@ -260,57 +261,57 @@
 	}
 }
 
-// occupy counts the members of j on its placement.
+// occupy records the placement of j.
 func (c *Core) occupy(j *job, placement []*worker) {
 	j.placement = placement
 	forEachWorker(placement, func(w *worker, n int) {
 		need := j.Shape.PerMember.Times(n)
 		w.used = w.used.Add(need)
-		if j.hard() && j.cell == nil {
-			w.hard = w.hard.Add(need)
+		if j.unstoppable() && j.cell == nil {
+			w.unstoppable = w.unstoppable.Add(need)
 		}
-		w.rack.settled += j.settledOn(n)
+		w.rack.uncheckpointed += j.uncheckpointedOn(n)
 		w.addOccupant(j, n)
-		c.touch(w, false)
+		c.markChanged(w, false)
 	})
 	a := j.owner
-	j.placedAt = len(a.placed)
+	j.placedIndex = len(a.placed)
 	a.placed = append(a.placed, j)
 	a.used += j.Shape.Total().Accelerators
-	if j.hard() && j.cell == nil {
-		a.hardUsed += j.Shape.Total().Accelerators
+	if j.unstoppable() && j.cell == nil {
+		a.unstoppableUsed += j.Shape.Total().Accelerators
 	}
 }
 
-// vacate gives back all that j uses, its cell included.
-func (c *Core) vacate(j *job) {
+// release releases all resources that j uses, and its cell.
+func (c *Core) release(j *job) {
 	placement := j.placement
-	forEachWorker(placement, func(w *worker, _ int) { c.vacateWorker(j, w) })
+	forEachWorker(placement, func(w *worker, _ int) { c.releaseWorker(j, w) })
 	j.placement = nil
 	a := j.owner
 	last := len(a.placed) - 1
-	a.placed[j.placedAt] = a.placed[last]
-	a.placed[j.placedAt].placedAt = j.placedAt
+	a.placed[j.placedIndex] = a.placed[last]
+	a.placed[j.placedIndex].placedIndex = j.placedIndex
 	a.placed = a.placed[:last]
 	a.used -= j.Shape.Total().Accelerators
-	if j.hard() && j.cell == nil {
-		a.hardUsed -= j.Shape.Total().Accelerators
+	if j.unstoppable() && j.cell == nil {
+		a.unstoppableUsed -= j.Shape.Total().Accelerators
 	}
 	c.releaseCell(j)
 }
 
-// vacateWorker gives back what j uses on one worker.
-func (c *Core) vacateWorker(j *job, w *worker) {
+// releaseWorker releases the resources that j uses on one worker.
+func (c *Core) releaseWorker(j *job, w *worker) {
 	n := w.removeOccupant(j)
 	if n == 0 {
 		return
 	}
 	need := j.Shape.PerMember.Times(n)
-	w.rack.settled -= j.settledOn(n)
+	w.rack.uncheckpointed -= j.uncheckpointedOn(n)
 	w.used = w.used.Sub(need)
-	if j.hard() && j.cell == nil {
-		w.hard = w.hard.Sub(need)
+	if j.unstoppable() && j.cell == nil {
+		w.unstoppable = w.unstoppable.Sub(need)
 		c.retryBinding = true
 	}
-	c.touch(w, true)
+	c.markChanged(w, true)
 }
--- a/scheduler/why.go
+++ b/scheduler/why.go
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("job %s waits: %s", id, c.cause(j))
 }
 
-// whyNotWaiting describes a job that is placed or ended.
+// whyNotWaiting describes a job that is placed or has ended.
 func (c *Core) whyNotWaiting(j *job) string {
 	text := fmt.Sprintf("job %s is %s", j.ID, j.state)
 	if j.reason != "" {
@@ -30,7 +30,7 @@
 	return text
 }
 
-// cause names what a waiting job lacks, the first obstacle first.
+// cause returns the first obstacle that keeps a waiting job from starting.
 func (c *Core) cause(j *job) string {
 	a := j.owner
 	switch {
@@ -42,8 +42,8 @@
 		return c.reservationCause(j)
 	case c.now.Before(j.notBefore):
 		return fmt.Sprintf("retry in %s after %d failures", j.notBefore.Sub(c.now).Round(time.Second), j.failureCount)
-	case !c.holdsEmpty(j.Shape):
-		return "no configured workers hold " + shapeText(j.Shape)
+	case !c.fitsEmptyWorkers(j.Shape):
+		return "no configured workers can hold " + shapeText(j.Shape)
 	case !c.withinQuota(j):
 		return fmt.Sprintf("quota: account %s uses %d of %d accelerators and the job needs %d",
 			a.name, a.used+a.holding, a.quota, j.Shape.Total().Accelerators)
@@ -54,7 +54,7 @@
 	return c.capacityCause(j)
 }
 
-// reclaimCause describes a claim under way.
+// reclaimCause describes a claim whose victims are being stopped.
 func (c *Core) reclaimCause(j *job) string {
 	n := 0
 	forEachWorker(j.hold.placement, func(w *worker, _ int) {
@@ -64,22 +64,22 @@
 			}
 		}
 	})
-	return fmt.Sprintf("reclaim of its guarantee under way since %s, %d jobs being stopped", c.ago(j.hold.since), n)
+	return fmt.Sprintf("reclaim of its guarantee in progress for %s, %d jobs being stopped", c.ago(j.hold.createdAt), n)
 }
 
 // reservationCause describes the job's own reservation.
 func (c *Core) reservationCause(j *job) string {
 	if j.hold.closed {
-		return fmt.Sprintf("its reservation of %s is being emptied since %s", shapeText(j.Shape), c.ago(j.hold.since))
+		return fmt.Sprintf("its reservation of %s, made %s ago, is being emptied", shapeText(j.Shape), c.ago(j.hold.createdAt))
 	}
-	return fmt.Sprintf("its reservation of %s is emptied in %s at the latest",
+	return fmt.Sprintf("its reservation of %s will be emptied within %s",
 		shapeText(j.Shape), j.hold.deadline.Sub(c.now).Round(time.Second))
 }
 
-// degradedCause says that the guarantee of the job's shape has no healthy capacity.
+// degradedCause describes a degraded guarantee of the job's shape. It is empty if there is none.
 func (c *Core) degradedCause(j *job) string {
 	for _, cl := range j.owner.cells {
-		if cl.place == nil && cl.matches(j.Shape) {
+		if cl.workers == nil && cl.matches(j.Shape) {
 			return fmt.Sprintf("degraded guarantee: healthy workers do not hold %s of account %s",
 				shapeText(cl.shape), j.Account)
 		}
@@ -87,35 +87,35 @@
 	return ""
 }
 
-// capacityCause tells adjacency, reservations, guarantees and plain capacity apart.
+// capacityCause distinguishes lack of adjacency, reservations, guarantees and plain lack of capacity.
 func (c *Core) capacityCause(j *job) string {
-	fits := func(change func(*request)) bool {
-		r := c.request(j)
+	fits := func(change func(*placementRequest)) bool {
+		r := c.placementRequest(j)
 		change(r)
-		return c.find(r) != nil
+		return c.findPlacement(r) != nil
 	}
 	switch {
-	case fits(func(*request) {}):
+	case fits(func(*placementRequest) {}):
 		return "the next plan"
-	case !j.hard() && fits(func(r *request) { r.backfill = true }), c.fitsWithoutReservations(j):
-		return c.reservationBefore()
-	case j.hard() && fits(func(r *request) { r.hard = false }):
+	case !j.unstoppable() && fits(func(r *placementRequest) { r.backfill = true }), c.fitsWithoutReservations(j):
+		return c.blockingReservation()
+	case j.unstoppable() && fits(func(r *placementRequest) { r.unstoppable = false }):
 		return "free capacity is bound to guarantees and the job cannot be stopped"
-	case fits(func(r *request) { r.shape.Adjacency = resource.AdjacencyNone }):
+	case fits(func(r *placementRequest) { r.shape.Adjacency = resource.AdjacencyNone }):
 		return fmt.Sprintf("adjacency: the free capacity is not in one %s", j.Shape.Adjacency)
 	}
-	return c.lacking(j)
+	return c.missingCapacity(j)
 }
 
-// fitsWithoutReservations reports whether only reservations keep the job from starting.
+// fitsWithoutReservations reports whether the job would fit if there were no reservations.
 func (c *Core) fitsWithoutReservations(j *job) bool {
-	r := c.request(j)
+	r := c.placementRequest(j)
 	for _, h := range c.holds {
 		if !h.hold.claim {
 			c.countHold(h, -1)
 		}
 	}
-	fits := c.find(r) != nil
+	fits := c.findPlacement(r) != nil
 	for _, h := range c.holds {
 		if !h.hold.claim {
 			c.countHold(h, 1)
@@ -124,11 +124,11 @@
 	return fits
 }
 
-// reservationBefore names the oldest reservation.
-func (c *Core) reservationBefore() string {
+// blockingReservation names the job with the oldest reservation.
+func (c *Core) blockingReservation() string {
 	var first *job
 	for _, h := range c.holds {
-		if !h.hold.claim && (first == nil || h.hold.since.Before(first.hold.since)) {
+		if !h.hold.claim && (first == nil || h.hold.createdAt.Before(first.hold.createdAt)) {
 			first = h
 		}
 	}
@@ -138,8 +138,8 @@
 	return fmt.Sprintf("free capacity is reserved for job %s", first.ID)
 }
 
-// lacking counts the free capacity of all workers against the need.
-func (c *Core) lacking(j *job) string {
+// missingCapacity compares the number of members that fit on all free workers with the number that the job needs.
+func (c *Core) missingCapacity(j *job) string {
 	fits := 0
 	for _, w := range c.ordered {
 		if w.eligible() {
