--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -35,7 +35,7 @@
 	Why(job string, now time.Time) string
 	// Status returns the state of one job. The result is false if the job is not known.
 	Status(job string) (jobs.Status, bool)
-	// List returns the state of all known jobs in order of submission. The oldest ended jobs are dropped in time.
+	// List returns the state of all known jobs in order of submission. The oldest ended jobs are eventually removed.
 	List() []jobs.Status
 	// Conditions returns the conditions of the failure domain that operators should know of.
 	Conditions() Conditions
--- a/scheduler/baseline_test.go
+++ b/scheduler/baseline_test.go
@@ -12,21 +12,22 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// baseline is a scheduler to compare with. Both kinds place gangs whole and adjacent on the first workers that fit, in
-// submission order, and stop nothing. First-fit starts every waiting job that fits. Counting admits jobs against the
-// accounts' quotas and the total of accelerators, whatever their shapes; an admitted job keeps its count while it waits
-// for a place, and a job that is not admitted holds back the later jobs of its account.
+// baseline is a simple scheduler that the core is compared with. It has two variants. Both place gangs whole and
+// adjacent on the first workers that fit, in submission order, and stop nothing. First-fit starts every waiting job
+// that fits. Quota counting admits jobs against the accounts' quotas and the total of accelerators, whatever their
+// shapes; an admitted job stays counted while it waits for a placement, and a job that is not admitted blocks the later
+// jobs of its account.
 type baseline struct {
 	Planner
-	counting bool
-	workers  []resource.Worker
-	free     []resource.Resources
-	quota    map[string]int
-	total    int
-	admitted map[string]int
-	taken    int
-	waiting  []*baselineJob
-	placed   map[string]*baselineJob
+	quotaCounting bool
+	workers       []resource.Worker
+	free          []resource.Resources
+	quota         map[string]int
+	total         int
+	admitted      map[string]int
+	admittedTotal int
+	waiting       []*baselineJob
+	placed        map[string]*baselineJob
 }
 
 type baselineJob struct {
@@ -36,8 +37,10 @@
 	placement []int
 }
 
-func newBaseline(doc *config.Document, counting bool) *baseline {
-	b := &baseline{counting: counting, quota: map[string]int{}, admitted: map[string]int{}, placed: map[string]*baselineJob{}}
+func newBaseline(doc *config.Document, quotaCounting bool) *baseline {
+	b := &baseline{
+		quotaCounting: quotaCounting, quota: map[string]int{}, admitted: map[string]int{}, placed: map[string]*baselineJob{},
+	}
 	for _, w := range doc.Workers {
 		b.workers = append(b.workers, w)
 		b.total += w.Capacity.Accelerators
@@ -69,16 +72,16 @@
 	}
 	n := j.Shape.Total().Accelerators
 	b.admitted[j.Account] -= n
-	b.taken -= n
+	b.admittedTotal -= n
 }
 
 func (b *baseline) Plan(time.Time) Plan {
 	var p Plan
-	left := b.waiting[:0]
-	held := map[string]bool{}
+	stillWaiting := b.waiting[:0]
+	heldBack := map[string]bool{}
 	for _, j := range b.waiting {
-		if !b.admit(j, held) || !b.place(j) {
-			left = append(left, j)
+		if !b.admit(j, heldBack) || !b.place(j) {
+			stillWaiting = append(stillWaiting, j)
 			continue
 		}
 		j.attempt++
@@ -89,29 +92,29 @@
 		}
 		p.Starts = append(p.Starts, Start{Job: j.Job, Attempt: j.attempt, Placement: names})
 	}
-	b.waiting = left
+	b.waiting = stillWaiting
 	return p
 }
 
-// admit counts the job against the quota, and with counting also against the total.
-func (b *baseline) admit(j *baselineJob, held map[string]bool) bool {
+// admit counts the job against the quota and, with quota counting, also against the total.
+func (b *baseline) admit(j *baselineJob, heldBack map[string]bool) bool {
 	if j.admitted {
 		return true
 	}
 	n := j.Shape.Total().Accelerators
 	over := b.quota[j.Account] > 0 && b.admitted[j.Account]+n > b.quota[j.Account]
-	if b.counting && (held[j.Account] || over || b.taken+n > b.total) {
-		held[j.Account] = true
+	if b.quotaCounting && (heldBack[j.Account] || over || b.admittedTotal+n > b.total) {
+		heldBack[j.Account] = true
 		return false
 	}
-	if !b.counting {
+	if !b.quotaCounting {
 		if over || !b.find(j) {
 			return false
 		}
 	}
 	j.admitted = true
 	b.admitted[j.Account] += n
-	b.taken += n
+	b.admittedTotal += n
 	return true
 }
 
@@ -125,7 +128,7 @@
 	return true
 }
 
-// find looks for the first workers that fit.
+// find places the job on the first workers that fit and reports whether there are any.
 func (b *baseline) find(j *baselineJob) bool {
 	j.placement = j.placement[:0]
 	for i := range b.workers {
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -17,43 +17,48 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// benchSeeds is the number of seeded arrivals per profile; the figures are over all of them.
+// benchSeeds is the number of seeds per profile; the results cover all of them.
 const benchSeeds = 4
 
-// figures are the results of one scheduler on one profile.
-type figures struct {
-	name                         string
-	all, large                   *hdrhistogram.Histogram
+// benchResult holds the results of one scheduler on one profile.
+type benchResult struct {
+	name string
+	// all, large and ownRunTime are in seconds; ownRunTime is the run time of the largest jobs without any wait.
+	all, large *hdrhistogram.Histogram
+	// unusable and free are in accelerator-seconds; busy and useful are shares of the capacity, summed over the seeds.
 	unusable, free, busy, useful float64
-	// scattered is unusable without regard to waiting gangs.
-	scattered                     float64
-	violations, claims, unstarted int
-	decision                      *hdrhistogram.Histogram
-	tasks                         float64
-	stops                         map[StopReason]int
-	wasted                        float64
-	floor                         *hdrhistogram.Histogram
-	seeds                         float64
+	// scattered is like unusable, but counts only the standard large shape as a use and ignores waiting gangs.
+	scattered                      float64
+	violations, claims, unfinished int
+	// decision is the time of the planner's calls from one plan to the next, in nanoseconds.
+	decision *hdrhistogram.Histogram
+	// tasks is the mean number of placed members, summed over the seeds.
+	tasks float64
+	stops map[StopReason]int
+	// lostTime is in accelerator-seconds.
+	lostTime   float64
+	ownRunTime *hdrhistogram.Histogram
+	seeds      float64
 }
 
-func newFigures(name string) *figures {
+func newBenchResult(name string) *benchResult {
 	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, 1e10, 3) }
-	return &figures{name: name, all: h(), large: h(), decision: h(), floor: h(), stops: map[StopReason]int{}}
+	return &benchResult{name: name, all: h(), large: h(), decision: h(), ownRunTime: h(), stops: map[StopReason]int{}}
 }
 
-func (f *figures) fragmentation() float64 { return f.unusable / max(f.free, 1) }
+func (f *benchResult) fragmentation() float64 { return f.unusable / max(f.free, 1) }
 
-// meter integrates the state of the workers over the time in which jobs arrive.
+// meter integrates the use of the workers over the time in which jobs arrive.
 type meter struct {
 	d       *driver
 	p       *profile
-	f       *figures
+	f       *benchResult
 	workers []resource.Worker
 	until   time.Time
 	total   int
 }
 
-func newMeter(d *driver, p *profile, f *figures) *meter {
+func newMeter(d *driver, p *profile, f *benchResult) *meter {
 	m := &meter{d: d, p: p, f: f, until: testStart.Add(p.span)}
 	for _, w := range p.doc.Workers {
 		m.workers = append(m.workers, w)
@@ -65,10 +70,10 @@
 	return m
 }
 
-// capacity is the accelerator time of the profile.
+// capacity returns the accelerator-seconds of the profile.
 func (m *meter) capacity() float64 { return float64(m.total) * m.p.span.Seconds() }
 
-// advance adds the state that held between two times.
+// advance adds the use of the workers between two times.
 func (m *meter) advance(from, to time.Time) {
 	if to.After(m.until) {
 		to = m.until
@@ -88,32 +93,32 @@
 	m.f.free += float64(freeCount) * seconds
 	m.f.unusable += float64(freeCount-usable) * seconds
 	m.f.busy += float64(m.total-freeCount) * seconds / m.capacity()
-	for _, t := range m.d.live {
-		m.f.tasks += float64(len(t.placement)) * seconds / m.p.span.Seconds()
+	for _, j := range m.d.live {
+		m.f.tasks += float64(len(j.placement)) * seconds / m.p.span.Seconds()
 	}
 }
 
-// usable counts the free accelerators that a waiting gang within its account's quota or the standard large shape can use,
-// and those that the standard large shape alone can use.
+// usable counts the free accelerators that the standard large shape or a waiting gang within its account's quota can
+// use, and those that the standard large shape alone can use.
 func (m *meter) usable(free []resource.Resources) (any, standard int) {
 	best := make([]int, len(free))
-	m.mark(m.p.doc.Policy.StandardLargeShape, free, best)
+	m.markUsable(m.p.doc.Policy.StandardLargeShape, free, best)
 	standard = sum(best)
 	shapes := map[resource.Shape]bool{}
 	used := map[string]int{}
-	for _, t := range m.d.live {
-		if t.placement != nil {
-			used[t.Account] += t.Shape.Total().Accelerators
+	for _, j := range m.d.live {
+		if j.placement != nil {
+			used[j.Account] += j.Shape.Total().Accelerators
 		}
 	}
-	for _, t := range m.d.live {
-		n := t.Shape.Total().Accelerators
-		if t.placement == nil && !t.ended && n > 1 && used[t.Account]+n <= m.p.doc.Accounts[t.Account].Quota {
-			shapes[t.Shape] = true
+	for _, j := range m.d.live {
+		n := j.Shape.Total().Accelerators
+		if j.placement == nil && !j.ended && n > 1 && used[j.Account]+n <= m.p.doc.Accounts[j.Account].Quota {
+			shapes[j.Shape] = true
 		}
 	}
 	for s := range shapes {
-		m.mark(s, free, best)
+		m.markUsable(s, free, best)
 	}
 	return sum(best), standard
 }
@@ -126,8 +131,8 @@
 	return total
 }
 
-// mark raises best to the accelerators of each worker that a placement of the shape can use.
-func (m *meter) mark(s resource.Shape, free []resource.Resources, best []int) {
+// markUsable raises best to the number of accelerators of each worker that a placement of the shape can use.
+func (m *meter) markUsable(s resource.Shape, free []resource.Resources, best []int) {
 	for begin := 0; begin < len(free); {
 		end := begin + 1
 		for end < len(free) && (s.Adjacency == resource.AdjacencyNone ||
@@ -145,70 +150,70 @@
 	}
 }
 
-// measure runs one scheduler on the arrivals of a profile until all jobs have ended, and adds its figures to f.
-func measure(f *figures, p *profile, planner Planner, seed uint64) {
+// measure runs one scheduler on the arrivals of a profile until all jobs have ended, and adds its results to f.
+func measure(f *benchResult, p *profile, planner Planner, seed uint64) {
 	f.seeds++
 	d := newDriver(planner)
 	m := newMeter(d, p, f)
 	d.onAdvance = m.advance
-	d.decided = func(spent time.Duration) { _ = f.decision.RecordValue(spent.Nanoseconds()) }
+	d.onDecision = func(spent time.Duration) { _ = f.decision.RecordValue(spent.Nanoseconds()) }
 	watch := watchClaims(d, p, f)
-	d.onStop = func(_ *task, s Stop) { f.stops[s.Reason]++ }
+	d.onStop = func(_ *simJob, s Stop) { f.stops[s.Reason]++ }
 	horizon := testStart.Add(p.span)
-	d.onEnd = func(t *task, r Result) { f.useful += usefulWithin(d, t, r, horizon) / m.capacity() }
-	for _, t := range p.arrivals(seed) {
-		d.after(t.arrived.Sub(testStart), func() {
-			if d.submit(t) {
-				watch(t)
+	d.onEnd = func(j *simJob, r Result) { f.useful += usefulWithin(d, j, r, horizon) / m.capacity() }
+	for _, j := range p.arrivals(seed) {
+		d.after(j.arrivedAt.Sub(testStart), func() {
+			if d.submit(j) {
+				watch(j)
 			}
 		})
 	}
 	d.run(testStart.Add(100 * p.span))
-	for _, t := range d.tasks {
-		if !t.ended {
-			f.unstarted++
+	for _, j := range d.jobs {
+		if !j.ended {
+			f.unfinished++
 			continue
 		}
-		f.wasted += t.wasted.Seconds() * float64(t.Shape.Total().Accelerators)
-		seconds := int64(t.endAt.Sub(t.arrived).Seconds())
+		f.lostTime += j.lostTime.Seconds() * float64(j.Shape.Total().Accelerators)
+		seconds := int64(j.endedAt.Sub(j.arrivedAt).Seconds())
 		_ = f.all.RecordValue(seconds)
-		if t.Shape.Total().Accelerators >= p.large {
+		if j.Shape.Total().Accelerators >= p.large {
 			_ = f.large.RecordValue(seconds)
-			_ = f.floor.RecordValue(int64(t.length.Seconds()))
+			_ = f.ownRunTime.RecordValue(int64(j.runTime.Seconds()))
 		}
 	}
 }
 
-// usefulWithin returns the accelerator time of an attempt before the horizon whose progress was kept.
-func usefulWithin(d *driver, t *task, r Result, horizon time.Time) float64 {
-	if t.ran.IsZero() || r.Kind != ResultCompleted && !r.Checkpointed {
+// usefulWithin returns the accelerator-seconds of an attempt before the horizon whose progress was kept.
+func usefulWithin(d *driver, j *simJob, r Result, horizon time.Time) float64 {
+	if j.ran.IsZero() || r.Kind != ResultCompleted && !r.Checkpointed {
 		return 0
 	}
 	end := d.now
 	if end.After(horizon) {
 		end = horizon
 	}
-	return max(0, end.Sub(t.ran).Seconds()) * float64(t.Shape.Total().Accelerators)
+	return max(0, end.Sub(j.ran).Seconds()) * float64(j.Shape.Total().Accelerators)
 }
 
 // watchClaims counts claims that did not start within the reclaim bound. A job is a claim if it has the guaranteed
 // shape and its account has fewer such jobs in the system than it has guarantees.
-func watchClaims(d *driver, p *profile, f *figures) func(*task) {
+func watchClaims(d *driver, p *profile, f *benchResult) func(*simJob) {
 	bound := time.Duration(p.doc.Policy.ReclaimBoundMS) * time.Millisecond
-	return func(t *task) {
-		for _, g := range p.doc.Accounts[t.Account].Guarantees {
+	return func(j *simJob) {
+		for _, g := range p.doc.Accounts[j.Account].Guarantees {
 			others := 0
 			for _, o := range d.live {
-				if o != t && o.Account == t.Account && o.Shape == g.Shape && !o.ended {
+				if o != j && o.Account == j.Account && o.Shape == g.Shape && !o.ended {
 					others++
 				}
 			}
-			if t.Shape != g.Shape || others >= g.Count {
+			if j.Shape != g.Shape || others >= g.Count {
 				continue
 			}
 			f.claims++
 			d.after(bound, func() {
-				if t.firstStart.IsZero() {
+				if j.firstStart.IsZero() {
 					f.violations++
 				}
 			})
@@ -216,7 +221,7 @@
 	}
 }
 
-// newLoadedCore returns a core with the profile's configuration and all workers healthy.
+// newLoadedCore returns a core that has the profile's configuration, with all workers healthy.
 func newLoadedCore(p *profile) *Core {
 	c := New(testDomain)
 	c.SetConfig(p.doc, testStart)
@@ -226,23 +231,23 @@
 	return c
 }
 
-// kindOf makes a planner for a profile.
-type kindOf struct {
+// plannerKind is a scheduler to measure; make creates it for a profile.
+type plannerKind struct {
 	name string
 	make func(*profile) Planner
 }
 
-var kinds = []kindOf{
+var plannerKinds = []plannerKind{
 	{"core", func(p *profile) Planner { return newLoadedCore(p) }},
 	{"first-fit", func(p *profile) Planner { return newBaseline(p.doc, false) }},
 	{"quota counting", func(p *profile) Planner { return newBaseline(p.doc, true) }},
 }
 
-// compare runs the kinds on the same arrivals of every seed.
-func compare(p *profile, kinds []kindOf) []*figures {
-	all := make([]*figures, len(kinds))
+// measureAll measures all kinds of planners on the same arrivals of every seed.
+func measureAll(p *profile, kinds []plannerKind) []*benchResult {
+	all := make([]*benchResult, len(kinds))
 	for i, k := range kinds {
-		all[i] = newFigures(k.name)
+		all[i] = newBenchResult(k.name)
 		for seed := range uint64(benchSeeds) {
 			measure(all[i], p, k.make(p), seed+1)
 		}
@@ -250,7 +255,7 @@
 	return all
 }
 
-// failOnViolations makes every violated invariant fail the test.
+// failOnViolations fails the test on every violated invariant.
 func failOnViolations(t *testing.T) {
 	t.Helper()
 	log := &invariant.Log{}
@@ -263,7 +268,7 @@
 	})
 }
 
-// benchProfiles are the deployments of docs/design.md.
+// benchProfiles returns the deployments of docs/design.md.
 func benchProfiles() []*profile {
 	return []*profile{
 		smallProfile("zariste", 32, 64, 0.25),
@@ -277,55 +282,55 @@
 	failOnViolations(t)
 	for _, p := range benchProfiles() {
 		t.Run(p.name, func(t *testing.T) {
-			all := compare(p, kinds)
-			printFigures(p.name, all...)
+			all := measureAll(p, plannerKinds)
+			printResults(p.name, all...)
 			assertTargets(t, all[0], all[1], all[2])
 		})
 	}
 }
 
-// TestBenchWeight prints what policy.fragmentation_weight trades.
-func TestBenchWeight(t *testing.T) {
+// TestBenchFragmentationWeight prints the results for several values of policy.fragmentation_weight.
+func TestBenchFragmentationWeight(t *testing.T) {
 	failOnViolations(t)
-	var all []*figures
+	var all []*benchResult
 	p := smallProfile("weight", 32, 64, 0)
 	for _, weight := range []float64{0, 0.25, 0.5, 0.75, 1} {
 		p.doc.Policy.FragmentationWeight = weight
-		f := compare(p, kinds[:1])[0]
+		f := measureAll(p, plannerKinds[:1])[0]
 		f.name = fmt.Sprint(weight)
 		all = append(all, f)
 	}
-	printFigures("weight", all...)
+	printResults("weight", all...)
 }
 
-// TestBenchSlope prints how the decision time grows with the failure domain.
-func TestBenchSlope(t *testing.T) {
+// TestBenchWorkerCounts prints how the decision time grows with the number of workers.
+func TestBenchWorkerCounts(t *testing.T) {
 	failOnViolations(t)
-	var all []*figures
+	var all []*benchResult
 	for _, workers := range []int{50, 210, 840, 1680, 3360} {
 		p := plannedProfile(workers)
 		p.span = 24 * time.Hour
-		p.warm = p.warm * workers / 840
-		f := newFigures(fmt.Sprint(workers))
+		p.warmUpJobs = p.warmUpJobs * workers / 840
+		f := newBenchResult(fmt.Sprint(workers))
 		measure(f, p, newLoadedCore(p), 1)
 		all = append(all, f)
 	}
-	printFigures("workers", all...)
+	printResults("workers", all...)
 }
 
-// assertTargets asserts the targets as docs/design.md states them.
-func assertTargets(t *testing.T, core, first, count *figures) {
-	p95 := func(f *figures) float64 { return float64(f.large.ValueAtQuantile(95)) }
-	if limit := min(p95(first), p95(count)) / 2; p95(core) > limit {
+// assertTargets asserts the targets of docs/design.md.
+func assertTargets(t *testing.T, core, firstFit, quotaCounting *benchResult) {
+	p95 := func(f *benchResult) float64 { return float64(f.large.ValueAtQuantile(95)) }
+	if limit := min(p95(firstFit), p95(quotaCounting)) / 2; p95(core) > limit {
 		t.Errorf("missed: p95 completion of the largest jobs %.0f s, target %.0f s", p95(core), limit)
 	}
-	if limit := min(first.fragmentation(), count.fragmentation()) / 2; core.fragmentation() > limit {
+	if limit := min(firstFit.fragmentation(), quotaCounting.fragmentation()) / 2; core.fragmentation() > limit {
 		t.Errorf("missed: fragmentation %.3f, target %.3f", core.fragmentation(), limit)
 	}
-	if core.violations > 0 || core.unstarted > 0 {
-		t.Errorf("missed: %d guarantee violations, %d jobs without an end", core.violations, core.unstarted)
+	if core.violations > 0 || core.unfinished > 0 {
+		t.Errorf("missed: %d guarantee violations, %d jobs without an end", core.violations, core.unfinished)
 	}
-	if limit := max(first.useful, count.useful); core.useful < limit {
+	if limit := max(firstFit.useful, quotaCounting.useful); core.useful < limit {
 		t.Errorf("missed: utilisation %.4f, target %.4f", core.useful/core.seeds, limit/core.seeds)
 	}
 	if p99 := core.decision.ValueAtQuantile(99); p99 > time.Millisecond.Nanoseconds() {
@@ -333,7 +338,7 @@
 	}
 }
 
-func printFigures(title string, all ...*figures) {
+func printResults(title string, all ...*benchResult) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%s\tp50 s\tp95 s\tp99 s\tlargest p95 s\tfragm.\tfragm. std\tutilis.\tbusy\tviolations/claims\t"+
 		"decision p50\tp99\tmax\ttasks\tjobs\t\n", title)
@@ -350,6 +355,6 @@
 	_ = w.Flush()
 	for _, f := range all {
 		fmt.Printf("  %s: stops %v, lost %.0f accelerator-hours, largest jobs' own run time p95 %d s\n",
-			f.name, f.stops, f.wasted/3600, f.floor.ValueAtQuantile(95))
+			f.name, f.stops, f.lostTime/3600, f.ownRunTime.ValueAtQuantile(95))
 	}
 }
--- a/scheduler/check_test.go
+++ b/scheduler/check_test.go
@@ -9,51 +9,52 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// The bounds of the checks, from the rules and not from measurements.
+// Bounds of the checks. They are derived from the scheduling rules, not from measurements.
 const (
-	// gangWaitBound is twice the sum of the wait for a reservation (1), its longest opening (4) and the longest run of
-	// unstoppable work on it (5), in max_wait_ms: a gang may first wait for the room of earlier reservations.
+	// gangWaitBound is twice the sum, in max_wait_ms, of the wait for a reservation (1), the longest time that it stays
+	// open (4) and the longest run of unstoppable work on it (5). It is doubled because a gang may first have to wait
+	// for earlier reservations.
 	gangWaitBound = 20 * scenarioMaxWait
-	// badAttempts is the number of failed attempts after which a job must be condemned.
-	badAttempts = 8
-	// quarantineWithin bounds the time from the first failure on a bad worker to its quarantine: a failed job waits up to
-	// maxRetryDelay, finds a place elsewhere when others end (longestRun), and runs there for confirmTime. One more
-	// minute is for the next failure, which is when the worker is judged.
-	quarantineWithin = maxRetryDelay + longestRun + confirmTime + time.Minute
+	// failedAttemptLimit is the number of failed attempts after which the core must have failed a job permanently.
+	failedAttemptLimit = 8
+	// quarantineBound is the longest time from the first failure on a faulty worker to its quarantine: a failed job
+	// waits up to maxRetryDelay, finds a placement elsewhere when others end (maxRunTime), and runs there for
+	// confirmTime. One more minute allows for the next failure, which triggers the quarantine.
+	quarantineBound = maxRetryDelay + maxRunTime + confirmTime + time.Minute
 )
 
-// checker verifies plans with its own account of workers, jobs and configuration.
+// checker verifies plans against its own record of workers, jobs and configuration.
 type checker struct {
 	core   *Core
 	d      *driver
 	doc    *config.Document
 	health map[string]Health
-	// blocked holds since when a gang waits although unbound capacity and quota would hold it.
-	blocked map[string]time.Time
-	// oldest is the gang that is blocked longest, oldestSince when it became that.
-	oldest      *task
-	oldestSince time.Time
-	failed      map[string]int
-	// failing holds since when a bad worker fails jobs without being in quarantine.
-	failing       map[string]time.Time
-	badBurstUntil time.Time
-	broken        func(string) bool
-	calm          bool
-	trace         []string
-	violations    []string
+	// blockedSince holds the time since which a gang has waited although unbound capacity and its quota would allow it.
+	blockedSince map[string]time.Time
+	// longestBlocked is the gang that has been blocked longest, and longestBlockedSince when it became that.
+	longestBlocked      *simJob
+	longestBlockedSince time.Time
+	failureCounts       map[string]int
+	// failingSince holds the time since which a faulty worker has failed jobs without being quarantined.
+	failingSince     map[string]time.Time
+	faultyBurstUntil time.Time
+	faultyWorker     func(string) bool
+	faultFree        bool
+	trace            []string
+	violations       []string
 }
 
 func newChecker(core *Core, d *driver) *checker {
 	k := &checker{
-		core: core, d: d, health: map[string]Health{}, blocked: map[string]time.Time{},
-		failed: map[string]int{}, failing: map[string]time.Time{},
+		core: core, d: d, health: map[string]Health{}, blockedSince: map[string]time.Time{},
+		failureCounts: map[string]int{}, failingSince: map[string]time.Time{},
 	}
-	d.onStart, d.onStop, d.onPlan, d.onEnd = k.started, k.stopped, k.planned, k.finished
+	d.onStart, d.onStop, d.onPlan, d.onEnd = k.checkStart, k.checkStop, k.checkPlan, k.observeEnd
 	return k
 }
 
-// violate records a violation with the latest events.
-func (k *checker) violate(format string, args ...any) {
+// addViolation records a violation together with the latest events.
+func (k *checker) addViolation(format string, args ...any) {
 	text := fmt.Sprintf("%s: %s\n", k.d.now.Sub(testStart), fmt.Sprintf(format, args...))
 	for _, line := range k.trace {
 		text += "  " + line + "\n"
@@ -61,21 +62,21 @@
 	k.violations = append(k.violations, text)
 }
 
-func (k *checker) note(format string, args ...any) {
+func (k *checker) traceEvent(format string, args ...any) {
 	k.trace = append(k.trace, fmt.Sprintf("%s ", k.d.now.Sub(testStart))+fmt.Sprintf(format, args...))
 	if len(k.trace) > 30 {
 		k.trace = k.trace[1:]
 	}
 }
 
-func (k *checker) configured(doc *config.Document) {
+func (k *checker) setConfig(doc *config.Document) {
 	k.doc = doc
-	k.note("configuration %d, drains %v", doc.Version, doc.Drains)
+	k.traceEvent("configuration %d, drains %v", doc.Version, doc.Drains)
 }
 
-func (k *checker) reported(id string, h Health) {
+func (k *checker) setHealth(id string, h Health) {
 	k.health[id] = h
-	k.note("worker %s %s", id, h)
+	k.traceEvent("worker %s %s", id, h)
 }
 
 func (k *checker) usable(id string) bool {
@@ -83,115 +84,115 @@
 	return k.health[id] == HealthUp && !drained
 }
 
-// started checks one start before it is carried out.
-func (k *checker) started(t *task, s Start) {
-	k.note("start %s attempt %d on %v", s.Job.ID, s.Attempt, s.Placement)
-	if t.ended || t.placement != nil {
-		k.violate("job %s started although it ended or runs", t.ID)
+// checkStart checks a start before it is carried out.
+func (k *checker) checkStart(j *simJob, s Start) {
+	k.traceEvent("start %s attempt %d on %v", s.Job.ID, s.Attempt, s.Placement)
+	if j.ended || j.placement != nil {
+		k.addViolation("job %s started although it has ended or is running", j.ID)
 	}
-	if len(s.Placement) != t.Shape.Members {
-		k.violate("gang %s of %d started with %d members", t.ID, t.Shape.Members, len(s.Placement))
+	if len(s.Placement) != j.Shape.Members {
+		k.addViolation("gang %s of %d started with %d members", j.ID, j.Shape.Members, len(s.Placement))
 	}
-	if t.RunOnce && !t.mayRunAgain {
-		k.violate("run once job %s started again", t.ID)
+	if j.RunOnce && !j.mayRunAgain {
+		k.addViolation("run once job %s started again", j.ID)
 	}
 	after := map[string]resource.Resources{}
 	for _, id := range s.Placement {
 		if !k.usable(id) {
-			k.violate("job %s started on %s worker %s", t.ID, k.health[id], id)
+			k.addViolation("job %s started on %s worker %s", j.ID, k.health[id], id)
 		}
 		first := s.Placement[0]
-		if t.Shape.Adjacency == resource.AdjacencyWorker && id != first ||
-			t.Shape.Adjacency == resource.AdjacencyRack && k.doc.Workers[id].Rack != k.doc.Workers[first].Rack {
-			k.violate("adjacency of %s is broken by %v", t.ID, s.Placement)
+		if j.Shape.Adjacency == resource.AdjacencyWorker && id != first ||
+			j.Shape.Adjacency == resource.AdjacencyRack && k.doc.Workers[id].Rack != k.doc.Workers[first].Rack {
+			k.addViolation("adjacency of %s is broken by %v", j.ID, s.Placement)
 		}
-		after[id] = after[id].Add(t.Shape.PerMember)
+		after[id] = after[id].Add(j.Shape.PerMember)
 	}
 	for id, need := range after {
 		if used := k.d.used[id].Add(need); !used.Fits(k.doc.Workers[id].Capacity) {
-			k.violate("worker %s over capacity with %v", id, used)
+			k.addViolation("worker %s is over its capacity with %v in use", id, used)
 		}
 	}
-	k.checkQuota(t)
+	k.checkQuota(j)
 }
 
-func (k *checker) accelerators(account string) int {
+func (k *checker) acceleratorsUsed(account string) int {
 	n := 0
-	for _, t := range k.d.live {
-		if t.Account == account && t.placement != nil {
-			n += t.Shape.Total().Accelerators
+	for _, j := range k.d.live {
+		if j.Account == account && j.placement != nil {
+			n += j.Shape.Total().Accelerators
 		}
 	}
 	return n
 }
 
-func (k *checker) checkQuota(t *task) {
-	quota := k.doc.Accounts[t.Account].Quota
-	n := t.Shape.Total().Accelerators
-	if used := k.accelerators(t.Account); quota > 0 && n > 0 && used+n > quota {
-		k.violate("quota of %s: %d of %d accelerators used, %d started", t.Account, used, quota, n)
+func (k *checker) checkQuota(j *simJob) {
+	quota := k.doc.Accounts[j.Account].Quota
+	n := j.Shape.Total().Accelerators
+	if used := k.acceleratorsUsed(j.Account); quota > 0 && n > 0 && used+n > quota {
+		k.addViolation("quota of %s: %d of %d accelerators used, %d started", j.Account, used, quota, n)
 	}
 }
 
-func (k *checker) stopped(t *task, s Stop) {
-	k.note("stop %s: %s", t.ID, s.Reason)
-	if !t.Stoppable() && s.Reason != StopCancelled && s.Reason != StopLost {
-		k.violate("unstoppable job %s stopped for %s", t.ID, s.Reason)
+func (k *checker) checkStop(j *simJob, s Stop) {
+	k.traceEvent("stop %s: %s", j.ID, s.Reason)
+	if !j.Stoppable() && s.Reason != StopCancelled && s.Reason != StopLost {
+		k.addViolation("unstoppable job %s stopped for %s", j.ID, s.Reason)
 	}
 }
 
-func (k *checker) finished(t *task, r Result) {
-	k.note("end %s %s %v", t.ID, r.Kind, r.Workers)
+func (k *checker) observeEnd(j *simJob, r Result) {
+	k.traceEvent("end %s %s %v", j.ID, r.Kind, r.Workers)
 	if r.Kind != ResultFailed {
 		return
 	}
-	k.failed[t.ID]++
+	k.failureCounts[j.ID]++
 	for _, id := range r.Workers {
-		if !k.broken(id) || (k.suspended()+1)*100 > k.doc.Policy.QuarantinePercent*len(k.doc.Workers) {
-			delete(k.failing, id)
+		if !k.faultyWorker(id) || (k.suspended()+1)*100 > k.doc.Policy.QuarantinePercent*len(k.doc.Workers) {
+			delete(k.failingSince, id)
 			continue
 		}
-		if _, ok := k.failing[id]; !ok {
-			k.failing[id] = k.d.now
+		if _, ok := k.failingSince[id]; !ok {
+			k.failingSince[id] = k.d.now
 		}
-		if k.d.now.Sub(k.failing[id]) > quarantineWithin {
-			k.violate("bad worker %s fails since %s", id, k.failing[id].Sub(testStart))
-			delete(k.failing, id)
+		if k.d.now.Sub(k.failingSince[id]) > quarantineBound {
+			k.addViolation("faulty worker %s not quarantined, failing jobs since %s", id, k.failingSince[id].Sub(testStart))
+			delete(k.failingSince, id)
 		}
 	}
 }
 
-// planned checks the state after every plan.
-func (k *checker) planned(p Plan) {
+// checkPlan checks the state after every plan.
+func (k *checker) checkPlan(p Plan) {
 	for _, s := range p.Condemned {
-		if !k.d.tasks[s.Job].bad {
-			k.violate("good job %s condemned: %s", s.Job, s.Detail)
+		if !k.d.jobs[s.Job].faulty {
+			k.addViolation("good job %s condemned: %s", s.Job, s.Detail)
 		}
 	}
-	k.checkConduct()
-	k.checkWitness()
-	if k.calm {
-		k.checkWaits()
+	k.checkFailures()
+	k.checkBindings()
+	if k.faultFree {
+		k.checkGangWaits()
 	}
 }
 
-func (k *checker) checkConduct() {
-	for id, n := range k.failed {
-		if n == badAttempts+1 {
-			k.violate("job %s not condemned after %d failures", id, n)
-			k.failed[id]++
+func (k *checker) checkFailures() {
+	for id, n := range k.failureCounts {
+		if n == failedAttemptLimit+1 {
+			k.addViolation("job %s not condemned after %d failures", id, n)
+			k.failureCounts[id]++
 		}
 	}
 	for _, w := range k.core.ordered {
 		if w.standing.phase != phaseTrusted {
-			delete(k.failing, w.id)
+			delete(k.failingSince, w.id)
 		}
-		if w.standing.phase != phaseTrusted && !k.broken(w.id) && k.d.now.Before(k.badBurstUntil) {
-			k.violate("healthy worker %s mistaken for a bad one", w.id)
+		if w.standing.phase != phaseTrusted && !k.faultyWorker(w.id) && k.d.now.Before(k.faultyBurstUntil) {
+			k.addViolation("healthy worker %s mistaken for a faulty one", w.id)
 		}
 	}
 	if out := k.suspended(); out*100 > k.doc.Policy.QuarantinePercent*len(k.doc.Workers) {
-		k.violate("quarantine bound: %d of %d workers out", out, len(k.doc.Workers))
+		k.addViolation("quarantine bound: %d of %d workers suspended", out, len(k.doc.Workers))
 	}
 }
 
@@ -206,10 +207,10 @@
 	return n
 }
 
-// checkWitness verifies the bindings: complete or listed as degraded, adjacent, on healthy workers, and disjoint from
-// each other and from unstoppable work.
-func (k *checker) checkWitness() {
-	promised := map[string]resource.Resources{}
+// checkBindings checks that every cell is bound or listed as degraded, and that the bindings are adjacent, on healthy
+// workers, and disjoint from each other and from unstoppable work.
+func (k *checker) checkBindings() {
+	committed := map[string]resource.Resources{}
 	claims := map[string]bool{}
 	missing, want, have := 0, 0, 0
 	for _, a := range k.doc.Accounts {
@@ -223,7 +224,7 @@
 			missing++
 			continue
 		}
-		k.checkCell(cl, promised)
+		k.checkCell(cl, committed)
 		if cl.claim != nil {
 			claims[cl.claim.ID] = true
 		}
@@ -232,104 +233,107 @@
 		missing -= d.Missing
 	}
 	if have != want || missing != 0 {
-		k.violate("P1 witness: %d of %d guarantees have cells, %d are missing without being listed", have, want, missing)
+		k.addViolation("P1 bindings: %d of %d guarantees have cells, %d cells are unbound without being listed as degraded",
+			have, want, missing)
 	}
-	for _, t := range k.d.live {
-		if t.Stoppable() || claims[t.ID] {
+	for _, j := range k.d.live {
+		if j.Stoppable() || claims[j.ID] {
 			continue
 		}
-		for _, id := range t.placement {
-			promised[id] = promised[id].Add(t.Shape.PerMember)
+		for _, id := range j.placement {
+			committed[id] = committed[id].Add(j.Shape.PerMember)
 		}
 	}
-	for id, sum := range promised {
+	for id, sum := range committed {
 		if k.usable(id) && !sum.Fits(k.doc.Workers[id].Capacity) {
-			k.violate("P1 witness: guarantees and unstoppable work on %s need %v", id, sum)
+			k.addViolation("P1 bindings: guarantees and unstoppable work on %s need %v", id, sum)
 		}
 	}
 }
 
-func (k *checker) checkCell(cl *cell, promised map[string]resource.Resources) {
+func (k *checker) checkCell(cl *cell, committed map[string]resource.Resources) {
 	if len(cl.workers) != cl.shape.Members {
-		k.violate("P1 witness: cell of %s has %d of %d members", cl.account.name, len(cl.workers), cl.shape.Members)
+		k.addViolation("P1 bindings: cell of %s has %d of %d members", cl.account.name, len(cl.workers), cl.shape.Members)
 	}
 	for _, w := range cl.workers {
 		if !k.usable(w.id) {
-			k.violate("P1 witness: cell of %s on worker %s that is %s", cl.account.name, w.id, k.health[w.id])
+			k.addViolation("P1 bindings: cell of %s on worker %s that is %s", cl.account.name, w.id, k.health[w.id])
 		}
 		if cl.shape.Adjacency == resource.AdjacencyWorker && w != cl.workers[0] ||
 			cl.shape.Adjacency == resource.AdjacencyRack && w.rack != cl.workers[0].rack {
-			k.violate("P1 witness: cell of %s is not adjacent", cl.account.name)
+			k.addViolation("P1 bindings: cell of %s is not adjacent", cl.account.name)
 		}
-		promised[w.id] = promised[w.id].Add(cl.shape.PerMember)
+		committed[w.id] = committed[w.id].Add(cl.shape.PerMember)
 	}
 	if cl.claim == nil {
 		return
 	}
-	if t := k.d.tasks[cl.claim.ID]; t.placement != nil && !slices.ContainsFunc(cl.workers, func(w *worker) bool {
-		return w.id == t.placement[0]
+	if j := k.d.jobs[cl.claim.ID]; j.placement != nil && !slices.ContainsFunc(cl.workers, func(w *worker) bool {
+		return w.id == j.placement[0]
 	}) {
-		k.violate("P1 witness: claim %s runs outside its cell", t.ID)
+		k.addViolation("P1 bindings: claim %s runs outside the workers of its cell", j.ID)
 	}
 }
 
-// watchClaim checks that a claim starts within the reclaim bound if its account claims no more than it has.
-func (k *checker) watchClaim(t *task) {
-	for _, g := range k.doc.Accounts[t.Account].Guarantees {
+// watchClaim checks that a claim starts within the reclaim bound, provided that its account has no more claims than
+// guarantees.
+func (k *checker) watchClaim(j *simJob) {
+	for _, g := range k.doc.Accounts[j.Account].Guarantees {
 		others := 0
 		for _, o := range k.d.live {
-			if o != t && o.Account == t.Account && o.Shape == g.Shape {
+			if o != j && o.Account == j.Account && o.Shape == g.Shape {
 				others++
 			}
 		}
-		if t.Shape != g.Shape || others >= g.Count {
+		if j.Shape != g.Shape || others >= g.Count {
 			continue
 		}
 		bound := time.Duration(k.doc.Policy.ReclaimBoundMS) * time.Millisecond
 		k.d.after(bound, func() {
-			// Another claim that arrived meanwhile, such as an urgent one, may have taken the guarantee.
-			if t.firstStart.IsZero() && !t.cancelled && k.placed(t.Account, g.Shape) < g.Count {
-				k.violate("claim %s not started within %s: %s", t.ID, bound, k.core.Why(t.ID, k.d.now))
+			// A later claim, such as an urgent one, may have taken the guarantee.
+			if j.firstStart.IsZero() && !j.cancelled && k.placedCount(j.Account, g.Shape) < g.Count {
+				k.addViolation("claim %s not started within %s: %s", j.ID, bound, k.core.Why(j.ID, k.d.now))
 			}
 		})
 	}
 }
 
-// placed counts the placed tasks of one shape of an account.
-func (k *checker) placed(account string, s resource.Shape) int {
+// placedCount returns the number of placed jobs of an account that have the shape.
+func (k *checker) placedCount(account string, s resource.Shape) int {
 	n := 0
-	for _, t := range k.d.live {
-		if t.Account == account && t.Shape == s && t.placement != nil {
+	for _, j := range k.d.live {
+		if j.Account == account && j.Shape == s && j.placement != nil {
 			n++
 		}
 	}
 	return n
 }
 
-// checkWaits checks that the gang that waits longest, while unbound capacity and its quota would hold it, gets its turn
-// within the bound.
-func (k *checker) checkWaits() {
-	var oldest *task
-	for _, t := range k.d.live {
-		n := t.Shape.Total().Accelerators
-		quota := k.doc.Accounts[t.Account].Quota
-		if t.placement != nil || t.Shape.Members == 1 || n == 0 || !k.core.fitsUnboundCapacity(t.Shape) ||
-			quota > 0 && k.accelerators(t.Account)+n > quota {
-			delete(k.blocked, t.ID)
+// checkGangWaits checks that the gang that has been blocked longest, although unbound capacity and its quota would
+// allow it, starts within the bound.
+func (k *checker) checkGangWaits() {
+	var longestBlocked *simJob
+	for _, j := range k.d.live {
+		n := j.Shape.Total().Accelerators
+		quota := k.doc.Accounts[j.Account].Quota
+		if j.placement != nil || j.Shape.Members == 1 || n == 0 || !k.core.fitsUnboundCapacity(j.Shape) ||
+			quota > 0 && k.acceleratorsUsed(j.Account)+n > quota {
+			delete(k.blockedSince, j.ID)
 			continue
 		}
-		if _, ok := k.blocked[t.ID]; !ok {
-			k.blocked[t.ID] = k.d.now
+		if _, ok := k.blockedSince[j.ID]; !ok {
+			k.blockedSince[j.ID] = k.d.now
 		}
-		if oldest == nil || k.blocked[t.ID].Before(k.blocked[oldest.ID]) {
-			oldest = t
+		if longestBlocked == nil || k.blockedSince[j.ID].Before(k.blockedSince[longestBlocked.ID]) {
+			longestBlocked = j
 		}
 	}
-	if oldest != k.oldest {
-		k.oldest, k.oldestSince = oldest, k.d.now
+	if longestBlocked != k.longestBlocked {
+		k.longestBlocked, k.longestBlockedSince = longestBlocked, k.d.now
 	}
-	if oldest != nil && k.d.now.Sub(k.oldestSince) > gangWaitBound {
-		k.violate("gang %s waits first since %s: %s", oldest.ID, k.oldestSince.Sub(testStart), k.core.Why(oldest.ID, k.d.now))
-		k.oldestSince = k.d.now
+	if longestBlocked != nil && k.d.now.Sub(k.longestBlockedSince) > gangWaitBound {
+		k.addViolation("gang %s waits longest, since %s: %s",
+			longestBlocked.ID, k.longestBlockedSince.Sub(testStart), k.core.Why(longestBlocked.ID, k.d.now))
+		k.longestBlockedSince = k.d.now
 	}
 }
--- a/scheduler/consolidate.go
+++ b/scheduler/consolidate.go
@@ -21,7 +21,8 @@
 // only if all of them fit elsewhere at once.
 func (c *Core) consolidate() {
 	standard := c.policy.StandardLargeShape
-	if c.fragmentationWeight() == 0 || standard.Members == 0 || c.options.noConsolidation || c.now.Before(c.nextConsolidation) {
+	if c.fragmentationWeight() == 0 || standard.Members == 0 || c.options.noConsolidation ||
+		c.now.Before(c.nextConsolidation) {
 		return
 	}
 	if c.recheck || c.reviewedPlan == c.planCount {
--- a/scheduler/core_test.go
+++ b/scheduler/core_test.go
@@ -17,7 +17,7 @@
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fixture drives a core by hand.
+// fixture drives a core step by step.
 type fixture struct {
 	t    *testing.T
 	core *Core
@@ -62,7 +62,7 @@
 	return f
 }
 
-// shape returns members of so many accelerators with 1 core and 1 GB for each.
+// shape returns a shape whose members have the given number of accelerators, and 1 core and 1 GB for each of them.
 func shape(members, accelerators int, adjacency resource.Adjacency) resource.Shape {
 	n := int64(max(accelerators, 1))
 	return resource.Shape{
@@ -71,8 +71,8 @@
 	}
 }
 
-// guarantee gives an account n copies of a shape.
-func guarantee(account string, n int, s resource.Shape) func(*config.Document) {
+// withGuarantee gives an account n copies of a shape.
+func withGuarantee(account string, n int, s resource.Shape) func(*config.Document) {
 	return func(doc *config.Document) {
 		a := doc.Accounts[account]
 		a.Guarantees = append(a.Guarantees, config.Guarantee{FailureDomain: testDomain, Shape: s, Count: n})
@@ -80,19 +80,19 @@
 	}
 }
 
-// kind changes a job.
-type kind func(*jobs.Job)
+// jobOption modifies a job before its submission.
+type jobOption func(*jobs.Job)
 
-func checkpoints(j *jobs.Job) { j.CanCheckpoint = true }
-func once(j *jobs.Job)        { j.RunOnce = true }
-func urgent(j *jobs.Job)      { j.Urgent = true }
+func canCheckpoint(j *jobs.Job) { j.CanCheckpoint = true }
+func runOnce(j *jobs.Job)       { j.RunOnce = true }
+func urgent(j *jobs.Job)        { j.Urgent = true }
 
 // submit submits a job and fails the test on an error.
-func (f *fixture) submit(id, account string, s resource.Shape, kinds ...kind) {
+func (f *fixture) submit(id, account string, s resource.Shape, options ...jobOption) {
 	f.t.Helper()
 	j := jobs.Job{ID: id, Account: account, FailureDomain: testDomain, Shape: s}
-	for _, k := range kinds {
-		k(&j)
+	for _, option := range options {
+		option(&j)
 	}
 	if err := f.core.Submit(j, f.now); err != nil {
 		f.t.Fatalf("submit %s: %v", id, err)
@@ -101,10 +101,10 @@
 
 func (f *fixture) plan() Plan { return f.core.Plan(f.now) }
 
-func (f *fixture) after(d time.Duration) { f.now = f.now.Add(d) }
+func (f *fixture) advance(d time.Duration) { f.now = f.now.Add(d) }
 
-// run plans and reports all starts as running.
-func (f *fixture) run() Plan {
+// planAndStart asks for a plan and reports all its starts as running.
+func (f *fixture) planAndStart() Plan {
 	p := f.plan()
 	for _, s := range p.Starts {
 		f.core.Started(s.Job.ID, s.Attempt, f.now)
@@ -112,22 +112,22 @@
 	return p
 }
 
-// end reports the end of the present attempt.
-func (f *fixture) end(id string, r Result) {
+// endAttempt reports the end of the current attempt.
+func (f *fixture) endAttempt(id string, r Result) {
 	s, _ := f.core.Status(id)
 	f.core.Ended(id, s.Attempt, r, f.now)
 }
 
-// state asserts the state of a job.
-func (f *fixture) state(id string, want jobs.State) {
+// wantState asserts the state of a job.
+func (f *fixture) wantState(id string, want jobs.State) {
 	f.t.Helper()
 	if s, _ := f.core.Status(id); s.State != want {
 		f.t.Errorf("job %s is %s (%s), want %s", id, s.State, f.core.Why(id, f.now), want)
 	}
 }
 
-// stopped lists the jobs that a plan stops.
-func stopped(p Plan) string {
+// stoppedJobs returns the ids of the jobs that a plan stops.
+func stoppedJobs(p Plan) string {
 	var ids []string
 	for _, s := range p.Stops {
 		ids = append(ids, s.Job)
@@ -135,8 +135,8 @@
 	return strings.Join(ids, " ")
 }
 
-// TestSubmitRefuses guards against never-runnable jobs that wait for ever.
-func TestSubmitRefuses(t *testing.T) {
+// TestSubmitRejectsImpossibleJobs guards against accepting jobs that can never run and would wait for ever.
+func TestSubmitRejectsImpossibleJobs(t *testing.T) {
 	cases := map[string]struct {
 		account string
 		shape   resource.Shape
@@ -162,80 +162,80 @@
 	}
 }
 
-// TestReclaim guards against a guarantee that is lent out and not given back.
+// TestReclaim guards against a guarantee whose capacity is borrowed and not given back.
 func TestReclaim(t *testing.T) {
-	f := newFixture(t, 4, guarantee("a", 1, shape(4, 8, resource.AdjacencyRack)))
+	f := newFixture(t, 4, withGuarantee("a", 1, shape(4, 8, resource.AdjacencyRack)))
 	for i := range 4 {
-		f.submit(fmt.Sprint("lent-", i), "b", shape(1, 8, resource.AdjacencyNone), checkpoints)
+		f.submit(fmt.Sprint("lent-", i), "b", shape(1, 8, resource.AdjacencyNone), canCheckpoint)
 	}
-	f.submit("once", "b", shape(1, 8, resource.AdjacencyNone), once)
-	if p := f.run(); len(p.Starts) != 4 || !p.Starts[0].Borrowed {
+	f.submit("once", "b", shape(1, 8, resource.AdjacencyNone), runOnce)
+	if p := f.planAndStart(); len(p.Starts) != 4 || !p.Starts[0].Borrowed {
 		t.Fatalf("want 4 borrowed starts, got %+v", p.Starts)
 	}
-	f.state("once", jobs.StateWaiting)
+	f.wantState("once", jobs.StateWaiting)
 	f.submit("claim", "a", shape(4, 8, resource.AdjacencyRack))
-	p := f.run()
+	p := f.planAndStart()
 	if len(p.Stops) != 4 || !p.Stops[0].Checkpoint || p.Stops[0].Reason != StopReclaim {
 		t.Fatalf("want 4 stops with checkpoint, got %+v", p.Stops)
 	}
 	for i := range 4 {
-		f.end(fmt.Sprint("lent-", i), Result{Kind: ResultStopped, Checkpointed: true})
+		f.endAttempt(fmt.Sprint("lent-", i), Result{Kind: ResultStopped, Checkpointed: true})
 	}
-	f.run()
-	f.state("claim", jobs.StateRunning)
-	f.state("lent-0", jobs.StateWaiting)
+	f.planAndStart()
+	f.wantState("claim", jobs.StateRunning)
+	f.wantState("lent-0", jobs.StateWaiting)
 }
 
-// TestLeastLostWork guards against a reclaim that stops the job with the most to lose.
-func TestLeastLostWork(t *testing.T) {
-	f := newFixture(t, 2, guarantee("a", 1, shape(1, 8, resource.AdjacencyNone)))
+// TestReclaimStopsLeastLostWork guards against a reclaim that stops the job with the most work to lose.
+func TestReclaimStopsLeastLostWork(t *testing.T) {
+	f := newFixture(t, 2, withGuarantee("a", 1, shape(1, 8, resource.AdjacencyNone)))
 	f.submit("old", "b", shape(1, 8, resource.AdjacencyNone))
-	f.run()
-	f.after(time.Hour)
+	f.planAndStart()
+	f.advance(time.Hour)
 	f.submit("young", "b", shape(1, 8, resource.AdjacencyNone))
-	f.run()
+	f.planAndStart()
 	f.submit("claim", "a", shape(1, 8, resource.AdjacencyNone))
-	if got := stopped(f.run()); got != "young" {
+	if got := stoppedJobs(f.planAndStart()); got != "young" {
 		t.Errorf("stopped %q, want young", got)
 	}
 }
 
-// TestReservation guards against a gang that an endless stream of small jobs starves.
-func TestReservation(t *testing.T) {
+// TestBlockedGangGetsReservation guards against a gang that is starved by an endless stream of small jobs.
+func TestBlockedGangGetsReservation(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	for i := range 31 {
-		f.submit(fmt.Sprint("small-", i), "b", shape(1, 1, resource.AdjacencyNone), checkpoints)
+		f.submit(fmt.Sprint("small-", i), "b", shape(1, 1, resource.AdjacencyNone), canCheckpoint)
 	}
-	f.run()
+	f.planAndStart()
 	f.submit("gang", "a", shape(4, 8, resource.AdjacencyRack))
-	p := f.run()
+	p := f.planAndStart()
 	if want := f.now.Add(time.Minute); !p.NextCheck.Equal(want) {
 		t.Fatalf("next check at %v, want %v", p.NextCheck, want)
 	}
-	f.after(time.Minute)
-	p = f.run()
+	f.advance(time.Minute)
+	p = f.planAndStart()
 	if len(p.Stops) != 31 || p.Stops[0].Reason != StopReservation {
 		t.Fatalf("want 31 stops for the reservation, got %d", len(p.Stops))
 	}
-	f.submit("late", "b", shape(1, 1, resource.AdjacencyNone), checkpoints)
-	f.run()
-	f.state("late", jobs.StateWaiting)
+	f.submit("late", "b", shape(1, 1, resource.AdjacencyNone), canCheckpoint)
+	f.planAndStart()
+	f.wantState("late", jobs.StateWaiting)
 	if why := f.core.Why("late", f.now); !strings.Contains(why, "reserved for job gang") {
 		t.Error(why)
 	}
 	for i := range 31 {
-		f.end(fmt.Sprint("small-", i), Result{Kind: ResultStopped, Checkpointed: true})
+		f.endAttempt(fmt.Sprint("small-", i), Result{Kind: ResultStopped, Checkpointed: true})
 	}
-	f.run()
-	f.state("gang", jobs.StateRunning)
+	f.planAndStart()
+	f.wantState("gang", jobs.StateRunning)
 }
 
-// TestUrgentFirst guards against urgent work that waits behind earlier submissions.
-func TestUrgentFirst(t *testing.T) {
+// TestUrgentJobStartsFirst guards against an urgent job that waits behind earlier submissions.
+func TestUrgentJobStartsFirst(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.submit("first", "a", shape(1, 8, resource.AdjacencyNone))
 	f.submit("urgent", "b", shape(1, 8, resource.AdjacencyNone), urgent)
-	f.run()
-	f.state("urgent", jobs.StateRunning)
-	f.state("first", jobs.StateWaiting)
+	f.planAndStart()
+	f.wantState("urgent", jobs.StateRunning)
+	f.wantState("first", jobs.StateWaiting)
 }
--- a/scheduler/document_test.go
+++ b/scheduler/document_test.go
@@ -7,13 +7,13 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// member returns the resources of one member.
-func member(accelerators int, cores, gigabytes int64) resource.Resources {
+// memberResources returns the resources of one member.
+func memberResources(accelerators int, cores, gigabytes int64) resource.Resources {
 	return resource.Resources{Accelerators: accelerators, MilliCPU: cores * 1000, MemoryMB: gigabytes * 1024}
 }
 
-// document returns workers in racks of a size, and accounts.
-func document(workers, perRack, accounts int, capacity func(int) resource.Resources) *config.Document {
+// newDocument returns a configuration with the given numbers of workers, workers per rack and accounts.
+func newDocument(workers, perRack, accounts int, capacity func(int) resource.Resources) *config.Document {
 	doc := &config.Document{Workers: map[string]resource.Worker{}, Accounts: map[string]config.Account{}}
 	doc.Policy = config.Policy{ReclaimBoundMS: 10_000, QuarantinePercent: 10}
 	for i := range workers {
--- a/scheduler/driver_test.go
+++ b/scheduler/driver_test.go
@@ -9,85 +9,87 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// driver carries out plans in virtual time: it starts, ends and stops attempts after fixed delays and reports back. It
-// stands for the shell at the core's interface and models nothing below it.
+// driver carries out plans in virtual time: it starts, ends and stops attempts after fixed delays and reports the
+// results. It takes the place of the caller of the core and models nothing else.
 type driver struct {
 	planner Planner
 	now     time.Time
-	// pending holds the timers, the next one last.
+	// pending holds the timers in descending order of time, so the next one is last.
 	pending []timer
-	tasks   map[string]*task
-	// live holds the tasks that have not ended.
-	live map[string]*task
-	// used sums what attempts use on each worker by the driver's own account.
+	jobs    map[string]*simJob
+	// live holds the jobs that have not ended.
+	live map[string]*simJob
+	// used sums the resources of placed jobs on each worker, independently of the core.
 	used map[string]resource.Resources
-	// quiet lists workers from which no report comes.
-	quiet map[string]bool
-	// startDelay is the time from a plan to running members; stopDelay and checkpointDelay are those of a stop.
+	// silent lists the workers that send no reports.
+	silent map[string]bool
+	// startDelay is the time from a plan until its members run; stopDelay and checkpointDelay are the times of a stop
+	// without and with a checkpoint.
 	startDelay, stopDelay, checkpointDelay time.Duration
-	// onStart, onStop, onEnd and onPlan observe; afterPlan runs after every plan was applied. Nil for none.
-	onStart func(*task, Start)
-	// fails names the worker on which an attempt fails, nil for none.
-	fails     func(*task) (string, bool)
-	onStop    func(*task, Stop)
-	onEnd     func(*task, Result)
+	// onStart, onStop, onEnd, onAdvance and onPlan are optional callbacks.
+	onStart func(*simJob, Start)
+	// failsOn returns the worker on which an attempt fails, if any. A nil function means that no attempt fails.
+	failsOn   func(*simJob) (string, bool)
+	onStop    func(*simJob, Stop)
+	onEnd     func(*simJob, Result)
 	onAdvance func(from, to time.Time)
 	onPlan    func(Plan)
-	// spent is the real time of the calls since the last plan; decided receives it with the plan's own.
-	spent   time.Duration
-	decided func(time.Duration)
-	wake    time.Time
+	// callTime is the real time spent in calls of the planner since the last plan. onDecision receives it, including
+	// the time of the plan itself.
+	callTime   time.Duration
+	onDecision func(time.Duration)
+	nextWake   time.Time
 }
 
-// task is the driver's record of a job: what it really needs and how it fares.
-type task struct {
+// simJob is the driver's record of a job and its true run time.
+type simJob struct {
 	jobs.Job
-	// length is the true run time, left what of it remains after checkpoints.
-	length, left time.Duration
-	// bad makes every attempt fail.
-	bad       bool
-	arrived   time.Time
+	// runTime is the true run time, and remaining what is left of it after checkpoints.
+	runTime, remaining time.Duration
+	// faulty makes every attempt fail.
+	faulty    bool
+	arrivedAt time.Time
 	attempt   uint64
 	placement Placement
-	// ran is when the members began to run, zero before.
-	ran               time.Time
-	stopping          bool
-	ended             bool
-	starts            int
-	mayRunAgain       bool
-	cancelled         bool
-	firstStart, endAt time.Time
-	wasted            time.Duration
+	// ran is when the members began to run, zero before that.
+	ran                 time.Time
+	stopping            bool
+	ended               bool
+	starts              int
+	mayRunAgain         bool
+	cancelled           bool
+	firstStart, endedAt time.Time
+	lostTime            time.Duration
 }
 
 type timer struct {
 	at time.Time
-	do func()
+	fn func()
 }
 
 func newDriver(p Planner) *driver {
 	return &driver{
 		planner: p, now: testStart,
-		tasks: map[string]*task{}, live: map[string]*task{}, used: map[string]resource.Resources{}, quiet: map[string]bool{},
+		jobs: map[string]*simJob{}, live: map[string]*simJob{}, used: map[string]resource.Resources{}, silent: map[string]bool{},
 		startDelay: time.Second, stopDelay: time.Second, checkpointDelay: 3 * time.Second,
 	}
 }
 
-// after schedules do.
-func (d *driver) after(delay time.Duration, do func()) {
-	t := timer{d.now.Add(delay), do}
+// after schedules fn to run after a delay.
+func (d *driver) after(delay time.Duration, fn func()) {
+	t := timer{d.now.Add(delay), fn}
 	i, _ := slices.BinarySearchFunc(d.pending, t, func(a, b timer) int { return cmp.Or(b.at.Compare(a.at), 1) })
 	d.pending = slices.Insert(d.pending, i, t)
 }
 
-// call measures one call of the planner.
-func (d *driver) call(f func()) {
+// timeCall adds the real time of one call of the planner to callTime.
+func (d *driver) timeCall(f func()) {
 	began := time.Now()
 	f()
-	d.spent += time.Since(began)
+	d.callTime += time.Since(began)
 }
 
-// run handles events until none is left or the time is reached.
+// run processes timers until none is left or the next one is later than until.
 func (d *driver) run(until time.Time) {
 	for len(d.pending) > 0 {
 		last := len(d.pending) - 1
@@ -102,7 +104,7 @@
 			}
 			d.now = t.at
 		}
-		t.do()
+		t.fn()
 		d.plan()
 	}
 }
@@ -110,11 +112,11 @@
 // plan asks for a plan and carries it out.
 func (d *driver) plan() {
 	var p Plan
-	d.call(func() { p = d.planner.Plan(d.now) })
-	if d.decided != nil {
-		d.decided(d.spent)
+	d.timeCall(func() { p = d.planner.Plan(d.now) })
+	if d.onDecision != nil {
+		d.onDecision(d.callTime)
 	}
-	d.spent = 0
+	d.callTime = 0
 	for _, s := range p.Stops {
 		d.stop(s)
 	}
@@ -122,169 +124,169 @@
 		d.start(s)
 	}
 	for _, s := range p.Condemned {
-		d.tasks[s.Job].ended = true
+		d.jobs[s.Job].ended = true
 		delete(d.live, s.Job)
 	}
 	if d.onPlan != nil {
 		d.onPlan(p)
 	}
-	if next := p.NextCheck; !next.IsZero() && (!d.wake.After(d.now) || next.Before(d.wake)) {
-		d.wake = next
+	if next := p.NextCheck; !next.IsZero() && (!d.nextWake.After(d.now) || next.Before(d.nextWake)) {
+		d.nextWake = next
 		d.after(next.Sub(d.now), func() {})
 	}
 }
 
-// submit hands in a task now. It reports whether the planner took it.
-func (d *driver) submit(t *task) bool {
-	t.arrived = d.now
-	t.left = t.length
-	t.mayRunAgain = true
+// submit submits a job now. It reports whether the planner accepted it.
+func (d *driver) submit(j *simJob) bool {
+	j.arrivedAt = d.now
+	j.remaining = j.runTime
+	j.mayRunAgain = true
 	var err error
-	d.call(func() { err = d.planner.Submit(t.Job, d.now) })
+	d.timeCall(func() { err = d.planner.Submit(j.Job, d.now) })
 	if err != nil {
 		return false
 	}
-	d.tasks[t.ID] = t
-	d.live[t.ID] = t
+	d.jobs[j.ID] = j
+	d.live[j.ID] = j
 	return true
 }
 
-func (d *driver) account(t *task, sign int) {
-	for _, id := range t.placement {
-		d.used[id] = d.used[id].Add(t.Shape.PerMember.Times(sign))
+func (d *driver) addUsage(j *simJob, sign int) {
+	for _, id := range j.placement {
+		d.used[id] = d.used[id].Add(j.Shape.PerMember.Times(sign))
 	}
 }
 
-// start begins an attempt: the members run after startDelay and end by themselves after what is left.
+// start begins an attempt: its members run after startDelay and end by themselves after the remaining run time.
 func (d *driver) start(s Start) {
-	t := d.tasks[s.Job.ID]
+	j := d.jobs[s.Job.ID]
 	if d.onStart != nil {
-		d.onStart(t, s)
+		d.onStart(j, s)
 	}
-	t.attempt, t.placement, t.stopping = s.Attempt, s.Placement, false
-	t.ran = time.Time{}
-	t.starts++
-	t.mayRunAgain = !t.RunOnce
-	if t.firstStart.IsZero() {
-		t.firstStart = d.now
+	j.attempt, j.placement, j.stopping = s.Attempt, s.Placement, false
+	j.ran = time.Time{}
+	j.starts++
+	j.mayRunAgain = !j.RunOnce
+	if j.firstStart.IsZero() {
+		j.firstStart = d.now
 	}
-	d.account(t, 1)
-	attempt := t.attempt
-	d.after(d.startDelay, func() { d.running(t, attempt) })
+	d.addUsage(j, 1)
+	attempt := j.attempt
+	d.after(d.startDelay, func() { d.becomeRunning(j, attempt) })
 }
 
-// present reports whether the attempt is under way and its workers report.
-func (d *driver) present(t *task, attempt uint64) bool {
-	if t.attempt != attempt || t.placement == nil {
+// responsive reports whether the attempt is in progress and all its workers send reports.
+func (d *driver) responsive(j *simJob, attempt uint64) bool {
+	if j.attempt != attempt || j.placement == nil {
 		return false
 	}
-	for _, id := range t.placement {
-		if d.quiet[id] {
+	for _, id := range j.placement {
+		if d.silent[id] {
 			return false
 		}
 	}
 	return true
 }
 
-func (d *driver) running(t *task, attempt uint64) {
-	if !d.present(t, attempt) || t.stopping {
+func (d *driver) becomeRunning(j *simJob, attempt uint64) {
+	if !d.responsive(j, attempt) || j.stopping {
 		return
 	}
-	t.ran = d.now
-	d.call(func() { d.planner.Started(t.ID, attempt, d.now) })
-	if d.fails != nil {
-		if id, ok := d.fails(t); ok {
-			d.after(d.startDelay, func() { d.fail(t, attempt, id) })
+	j.ran = d.now
+	d.timeCall(func() { d.planner.Started(j.ID, attempt, d.now) })
+	if d.failsOn != nil {
+		if id, ok := d.failsOn(j); ok {
+			d.after(d.startDelay, func() { d.failAttempt(j, attempt, id) })
 			return
 		}
 	}
-	d.after(t.left, func() { d.complete(t, attempt) })
+	d.after(j.remaining, func() { d.completeAttempt(j, attempt) })
 }
 
-// fail ends the attempt as failed on a worker.
-func (d *driver) fail(t *task, attempt uint64, id string) {
-	if d.present(t, attempt) && !t.stopping {
-		d.end(t, Result{Kind: ResultFailed, Workers: []string{id}, Detail: "exit status 1"})
+// failAttempt ends the attempt as failed on the given worker.
+func (d *driver) failAttempt(j *simJob, attempt uint64, id string) {
+	if d.responsive(j, attempt) && !j.stopping {
+		d.endAttempt(j, Result{Kind: ResultFailed, Workers: []string{id}, Detail: "exit status 1"})
 	}
 }
 
-func (d *driver) complete(t *task, attempt uint64) {
-	if t.attempt != attempt || t.placement == nil || t.stopping {
+func (d *driver) completeAttempt(j *simJob, attempt uint64) {
+	if j.attempt != attempt || j.placement == nil || j.stopping {
 		return
 	}
-	if !d.present(t, attempt) {
-		d.after(time.Second, func() { d.complete(t, attempt) })
+	if !d.responsive(j, attempt) {
+		d.after(time.Second, func() { d.completeAttempt(j, attempt) })
 		return
 	}
-	d.end(t, Result{Kind: ResultCompleted})
+	d.endAttempt(j, Result{Kind: ResultCompleted})
 }
 
-// end reports the end of the present attempt.
-func (d *driver) end(t *task, r Result) {
-	if t.placement == nil {
+// endAttempt ends the current attempt and reports the result.
+func (d *driver) endAttempt(j *simJob, r Result) {
+	if j.placement == nil {
 		return
 	}
-	d.settle(t, r)
-	attempt := t.attempt
-	d.call(func() { d.planner.Ended(t.ID, attempt, r, d.now) })
+	d.recordEnd(j, r)
+	attempt := j.attempt
+	d.timeCall(func() { d.planner.Ended(j.ID, attempt, r, d.now) })
 }
 
-// settle records the end of the present attempt without a report.
-func (d *driver) settle(t *task, r Result) {
-	d.account(t, -1)
+// recordEnd ends the current attempt without reporting it to the planner.
+func (d *driver) recordEnd(j *simJob, r Result) {
+	d.addUsage(j, -1)
 	if d.onEnd != nil {
-		d.onEnd(t, r)
+		d.onEnd(j, r)
 	}
-	t.placement = nil
+	j.placement = nil
 	ran := time.Duration(0)
-	if !t.ran.IsZero() {
-		ran = d.now.Sub(t.ran)
+	if !j.ran.IsZero() {
+		ran = d.now.Sub(j.ran)
 	}
 	switch {
 	case r.Kind == ResultCompleted:
-		t.left = 0
+		j.remaining = 0
 	case r.Checkpointed:
-		t.left = max(t.left-ran, 0)
+		j.remaining = max(j.remaining-ran, 0)
 	default:
-		t.wasted += ran
+		j.lostTime += ran
 	}
 	final := r.Kind == ResultFailed || r.Kind == ResultLost || r.Kind == ResultStopped && !r.Checkpointed
-	t.ended = r.Kind == ResultCompleted || r.Kind == ResultUnknown || t.cancelled || t.RunOnce && final
-	if t.ended {
-		t.endAt = d.now
-		delete(d.live, t.ID)
+	j.ended = r.Kind == ResultCompleted || r.Kind == ResultUnknown || j.cancelled || j.RunOnce && final
+	if j.ended {
+		j.endedAt = d.now
+		delete(d.live, j.ID)
 	}
-	t.mayRunAgain = t.mayRunAgain || r.Kind == ResultNotStarted || r.Kind == ResultStopped && r.Checkpointed
+	j.mayRunAgain = j.mayRunAgain || r.Kind == ResultNotStarted || r.Kind == ResultStopped && r.Checkpointed
 }
 
-// stop ends the attempt after the delay of a stop, longer with a checkpoint.
+// stop ends the attempt after stopDelay, or after checkpointDelay if it saves its progress.
 func (d *driver) stop(s Stop) {
-	t := d.tasks[s.Job]
-	if t == nil || t.attempt != s.Attempt || t.placement == nil {
+	j := d.jobs[s.Job]
+	if j == nil || j.attempt != s.Attempt || j.placement == nil {
 		return
 	}
 	if d.onStop != nil {
-		d.onStop(t, s)
+		d.onStop(j, s)
 	}
-	t.stopping = true
+	j.stopping = true
 	delay := d.stopDelay
 	if s.Checkpoint {
 		delay = d.checkpointDelay
 	}
-	d.after(delay, func() { d.stopped(t, s) })
+	d.after(delay, func() { d.finishStop(j, s) })
 }
 
-func (d *driver) stopped(t *task, s Stop) {
-	if t.attempt != s.Attempt || t.placement == nil {
+func (d *driver) finishStop(j *simJob, s Stop) {
+	if j.attempt != s.Attempt || j.placement == nil {
 		return
 	}
-	if !d.present(t, s.Attempt) {
-		d.after(time.Second, func() { d.stopped(t, s) })
+	if !d.responsive(j, s.Attempt) {
+		d.after(time.Second, func() { d.finishStop(j, s) })
 		return
 	}
-	if t.ran.IsZero() {
-		d.end(t, Result{Kind: ResultNotStarted})
+	if j.ran.IsZero() {
+		d.endAttempt(j, Result{Kind: ResultNotStarted})
 		return
 	}
-	d.end(t, Result{Kind: ResultStopped, Checkpointed: s.Checkpoint})
+	d.endAttempt(j, Result{Kind: ResultStopped, Checkpointed: s.Checkpoint})
 }
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/redwingthread/redwingthread/scheduler"
 )
 
-// The owner reports events, asks for a plan, carries it out and reports what came of it.
+// The caller reports events, asks for a plan, carries it out and reports the results.
 func ExampleCore() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	core := scheduler.New("fd-a")
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -245,7 +245,8 @@
 		return
 	}
 	confirmed, open := c.countSuspicions(w)
-	if confirmed+open >= minFailedJobs && (c.options.noFailureConfirmation || confirmed >= minConfirmedJobs) && c.mayQuarantine() {
+	if confirmed+open >= minFailedJobs && (c.options.noFailureConfirmation || confirmed >= minConfirmedJobs) &&
+		c.mayQuarantine() {
 		c.quarantine(w)
 	}
 }
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -194,7 +194,9 @@
 		}
 		return placement
 	}
-	key := shapeKey{shape: r.shape, unstoppable: r.unstoppable, backfill: r.backfill, trial: suitsTrial(j), runOnce: j.RunOnce}
+	key := shapeKey{
+		shape: r.shape, unstoppable: r.unstoppable, backfill: r.backfill, trial: suitsTrial(j), runOnce: j.RunOnce,
+	}
 	r.since = c.failedSearches[key]
 	placement := c.findPlacement(r)
 	if placement == nil {
--- a/scheduler/prove_test.go
+++ b/scheduler/prove_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TestProve is one randomised run for make prove.
+// TestProve runs randomised scenarios from PROVE_SEED for make prove.
 func TestProve(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("PROVE_SEED"), 10, 64)
 	if err != nil {
--- a/scheduler/scenario_test.go
+++ b/scheduler/scenario_test.go
@@ -13,26 +13,26 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// The scenario's sizes.
+// Parameters of the scenarios.
 const (
 	scenarioSpan    = 3 * time.Hour
 	scenarioMaxWait = time.Minute
-	// longestRun bounds the true run time of small jobs.
-	longestRun = 5 * time.Minute
+	// maxRunTime is the longest true run time of a job.
+	maxRunTime = 5 * time.Minute
 )
 
-// scenario drives a core through faults and bursts drawn from a seed.
+// scenario drives a core through random faults and bursts drawn from a seed.
 type scenario struct {
 	*driver
 	*checker
-	core   *Core
-	random *rand.Rand
-	doc    *config.Document
-	ids    []string
-	broken map[string]bool
-	number int
-	// calm leaves out faults, so that waits are bounded by the core alone.
-	calm bool
+	core         *Core
+	random       *rand.Rand
+	doc          *config.Document
+	workerIDs    []string
+	faultyWorker map[string]bool
+	jobCount     int
+	// faultFree leaves out faults, so that waits are bounded by the core alone.
+	faultFree bool
 }
 
 // runScenario runs one seeded scenario and returns its violations with their trace.
@@ -43,7 +43,7 @@
 	s := newScenario(seed, o)
 	s.driver.run(testStart.Add(scenarioSpan))
 	for _, v := range log.Violations() {
-		s.violate("%s", v)
+		s.addViolation("%s", v)
 	}
 	return s.violations
 }
@@ -52,36 +52,36 @@
 	r := rand.New(rand.NewPCG(seed, 3))
 	core := New(testDomain)
 	core.options = o
-	s := &scenario{core: core, random: r, broken: map[string]bool{}, calm: seed%3 == 0}
+	s := &scenario{core: core, random: r, faultyWorker: map[string]bool{}, faultFree: seed%3 == 0}
 	s.driver = newDriver(core)
 	s.checker = newChecker(core, s.driver)
-	s.checker.calm = s.calm
-	s.checker.broken = func(id string) bool { return s.broken[id] }
-	s.driver.fails = s.fails
+	s.checker.faultFree = s.faultFree
+	s.checker.faultyWorker = func(id string) bool { return s.faultyWorker[id] }
+	s.driver.failsOn = s.failsOn
 	s.doc = scenarioDocument(r, 0)
 	for id := range s.doc.Workers {
-		s.ids = append(s.ids, id)
+		s.workerIDs = append(s.workerIDs, id)
 	}
-	slices.Sort(s.ids)
+	slices.Sort(s.workerIDs)
 	s.configure()
-	for _, id := range s.ids {
+	for _, id := range s.workerIDs {
 		s.health(id, HealthUp)
 	}
 	for at := time.Duration(0); at < scenarioSpan; at += time.Duration(1+r.IntN(16000)) * time.Millisecond {
-		s.after(at, s.step)
+		s.after(at, s.randomEvent)
 	}
-	s.after(20*time.Minute, s.burst)
-	s.after(50*time.Minute, s.cancelWave)
-	if !s.calm {
-		s.after(30*time.Minute, s.badJobs)
-		s.after(70*time.Minute, s.badWorkers)
+	s.after(20*time.Minute, s.submitBurst)
+	s.after(50*time.Minute, s.submitAndCancelMany)
+	if !s.faultFree {
+		s.after(30*time.Minute, s.submitFaultyJobs)
+		s.after(70*time.Minute, s.breakWorkers)
 	}
 	return s
 }
 
-// scenarioDocument returns 16 workers in 4 racks and four accounts, with guarantees that change with the version.
+// scenarioDocument returns a configuration of 16 workers in 4 racks and four accounts with random guarantees.
 func scenarioDocument(r *rand.Rand, version uint64) *config.Document {
-	doc := document(16, 4, 4, func(int) resource.Resources { return member(8, 32, 64) })
+	doc := newDocument(16, 4, 4, func(int) resource.Resources { return memberResources(8, 32, 64) })
 	doc.Version = version
 	doc.Policy.FragmentationWeight = float64(r.IntN(5)) / 4
 	doc.Policy.MaxWaitMS = scenarioMaxWait.Milliseconds()
@@ -101,55 +101,55 @@
 }
 
 func (s *scenario) configure() {
-	s.call(func() { s.core.SetConfig(s.doc, s.now) })
-	s.checker.configured(s.doc)
+	s.timeCall(func() { s.core.SetConfig(s.doc, s.now) })
+	s.checker.setConfig(s.doc)
 }
 
 func (s *scenario) health(id string, h Health) {
-	s.call(func() { s.core.SetWorkerHealth(id, h, s.now) })
-	s.checker.reported(id, h)
+	s.timeCall(func() { s.core.SetWorkerHealth(id, h, s.now) })
+	s.checker.setHealth(id, h)
 }
 
-// step makes one random event.
-func (s *scenario) step() {
+// randomEvent makes one random event.
+func (s *scenario) randomEvent() {
 	switch x := s.random.IntN(100); {
 	case x < 70:
-		s.arrive(s.job())
+		s.submitJob(s.randomJob())
 	case x < 82:
-		s.arrive(s.claim())
+		s.submitJob(s.randomClaim())
 	case x < 88:
 		s.cancelOne()
-	case s.calm:
+	case s.faultFree:
 	case x < 94:
-		s.fault()
+		s.workerFault()
 	case x < 98:
 		s.reconfigure()
 	default:
-		s.loseStart()
+		s.refuseStart()
 	}
 }
 
-// arrive submits a task that fails where it must.
-func (s *scenario) arrive(t *task) {
-	s.number++
-	t.ID = fmt.Sprintf("job-%04d", s.number)
-	if s.submit(t) && s.calm {
-		s.watchClaim(t)
+// submitJob assigns the next id to a job and submits it.
+func (s *scenario) submitJob(j *simJob) {
+	s.jobCount++
+	j.ID = fmt.Sprintf("job-%04d", s.jobCount)
+	if s.submit(j) && s.faultFree {
+		s.watchClaim(j)
 	}
 }
 
-// fails names the worker on which an attempt of t fails.
-func (s *scenario) fails(t *task) (string, bool) {
-	for _, id := range t.placement {
-		if t.bad || s.broken[id] {
+// failsOn returns the worker on which an attempt of j fails, if any.
+func (s *scenario) failsOn(j *simJob) (string, bool) {
+	for _, id := range j.placement {
+		if j.faulty || s.faultyWorker[id] {
 			return id, true
 		}
 	}
 	return "", false
 }
 
-// job draws an ordinary job of any kind.
-func (s *scenario) job() *task {
+// randomJob draws an ordinary job of any kind.
+func (s *scenario) randomJob() *simJob {
 	r := s.random
 	shapes := []resource.Shape{
 		shape(1, 1, resource.AdjacencyNone), shape(1, 1, resource.AdjacencyNone), shape(1, 2, resource.AdjacencyNone),
@@ -157,152 +157,152 @@
 		shape(20, 0, resource.AdjacencyNone), shape(4, 2, resource.AdjacencyWorker), shape(12, 1, resource.AdjacencyNone),
 		shape(2, 8, resource.AdjacencyRack), shape(4, 8, resource.AdjacencyRack), shape(64, 0, resource.AdjacencyNone),
 	}
-	t := &task{length: time.Duration(1+r.IntN(int(longestRun/time.Second))) * time.Second}
-	t.Account = fmt.Sprintf("account-%03d", r.IntN(4))
-	t.Shape = shapes[r.IntN(len(shapes))]
-	t.CanCheckpoint = r.IntN(2) == 0
-	t.RunOnce = r.IntN(4) == 0
-	t.Urgent = r.IntN(10) == 0
-	return t
+	j := &simJob{runTime: time.Duration(1+r.IntN(int(maxRunTime/time.Second))) * time.Second}
+	j.Account = fmt.Sprintf("account-%03d", r.IntN(4))
+	j.Shape = shapes[r.IntN(len(shapes))]
+	j.CanCheckpoint = r.IntN(2) == 0
+	j.RunOnce = r.IntN(4) == 0
+	j.Urgent = r.IntN(10) == 0
+	return j
 }
 
-// claim draws a job of a guaranteed shape of its account.
-func (s *scenario) claim() *task {
-	t := s.job()
-	t.Account = fmt.Sprintf("account-%03d", s.random.IntN(3))
-	for _, g := range s.doc.Accounts[t.Account].Guarantees {
-		t.Shape = g.Shape
+// randomClaim draws a job of a guaranteed shape of its account.
+func (s *scenario) randomClaim() *simJob {
+	j := s.randomJob()
+	j.Account = fmt.Sprintf("account-%03d", s.random.IntN(3))
+	for _, g := range s.doc.Accounts[j.Account].Guarantees {
+		j.Shape = g.Shape
 	}
-	return t
+	return j
 }
 
-// burst submits many small and some large jobs at once.
-func (s *scenario) burst() {
+// submitBurst submits many small and some large jobs at once.
+func (s *scenario) submitBurst() {
 	for range 300 {
-		t := s.job()
+		j := s.randomJob()
 		if s.random.IntN(10) > 0 {
-			t.Shape = shape(1, 1, resource.AdjacencyNone)
+			j.Shape = shape(1, 1, resource.AdjacencyNone)
 		}
-		s.arrive(t)
+		s.submitJob(j)
 	}
 }
 
-// cancelWave submits and cancels a thousand jobs.
-func (s *scenario) cancelWave() {
-	first := s.number
+// submitAndCancelMany submits a thousand jobs at once and cancels them.
+func (s *scenario) submitAndCancelMany() {
+	first := s.jobCount
 	for range 1000 {
-		s.arrive(s.job())
+		s.submitJob(s.randomJob())
 	}
 	s.plan()
-	for i := first + 1; i <= s.number; i++ {
+	for i := first + 1; i <= s.jobCount; i++ {
 		s.cancel(fmt.Sprintf("job-%04d", i))
 	}
 }
 
 func (s *scenario) cancelOne() {
-	if s.number > 0 {
-		s.cancel(fmt.Sprintf("job-%04d", 1+s.random.IntN(s.number)))
+	if s.jobCount > 0 {
+		s.cancel(fmt.Sprintf("job-%04d", 1+s.random.IntN(s.jobCount)))
 	}
 }
 
 func (s *scenario) cancel(id string) {
-	t := s.tasks[id]
-	if t == nil || t.ended {
+	j := s.jobs[id]
+	if j == nil || j.ended {
 		return
 	}
-	t.cancelled = true
-	if t.placement == nil {
-		t.ended = true
+	j.cancelled = true
+	if j.placement == nil {
+		j.ended = true
 		delete(s.live, id)
 	}
-	s.call(func() { s.core.Cancel(id, s.now) })
+	s.timeCall(func() { s.core.Cancel(id, s.now) })
 }
 
-// badJobs submits a burst of jobs that fail wherever they run.
-func (s *scenario) badJobs() {
+// submitFaultyJobs submits a burst of jobs that fail on every worker.
+func (s *scenario) submitFaultyJobs() {
 	for range 40 {
-		t := s.job()
-		t.Shape, t.bad = shape(1, 1, resource.AdjacencyNone), true
-		s.arrive(t)
+		j := s.randomJob()
+		j.Shape, j.faulty = shape(1, 1, resource.AdjacencyNone), true
+		s.submitJob(j)
 	}
-	s.checker.badBurstUntil = s.now.Add(10 * time.Minute)
+	s.checker.faultyBurstUntil = s.now.Add(10 * time.Minute)
 }
 
-// badWorkers lets one to four workers fail all they start, which may be more than the quarantine may hold.
-func (s *scenario) badWorkers() {
+// breakWorkers makes one to four workers fail all jobs, which may be more workers than may be quarantined.
+func (s *scenario) breakWorkers() {
 	for range 1 + s.random.IntN(4) {
-		s.broken[s.ids[s.random.IntN(len(s.ids))]] = true
+		s.faultyWorker[s.workerIDs[s.random.IntN(len(s.workerIDs))]] = true
 	}
 }
 
-// fault makes a worker unreachable, leaving or gone, and brings it back later.
-func (s *scenario) fault() {
-	id := s.ids[s.random.IntN(len(s.ids))]
+// workerFault makes a worker unreachable, leaving or gone, and restores it later.
+func (s *scenario) workerFault() {
+	id := s.workerIDs[s.random.IntN(len(s.workerIDs))]
 	if s.checker.health[id] != HealthUp {
 		return
 	}
 	back := time.Duration(20+s.random.IntN(200)) * time.Second
 	switch s.random.IntN(3) {
 	case 0:
-		s.quiet[id] = true
+		s.silent[id] = true
 		s.health(id, HealthUnreachable)
-		s.after(back, func() { s.quiet[id] = false; s.health(id, HealthUp) })
+		s.after(back, func() { s.silent[id] = false; s.health(id, HealthUp) })
 	case 1:
 		s.health(id, HealthLeaving)
 		s.after(back, func() { s.health(id, HealthUp) })
 	default:
-		s.quiet[id] = true
+		s.silent[id] = true
 		s.health(id, HealthUnreachable)
-		s.after(30*time.Second, func() { s.die(id) })
-		s.after(30*time.Second+back, func() { s.quiet[id] = false; s.health(id, HealthUp) })
+		s.after(30*time.Second, func() { s.loseWorker(id) })
+		s.after(30*time.Second+back, func() { s.silent[id] = false; s.health(id, HealthUp) })
 	}
 }
 
-// die reports a worker gone. Gangs that lost a member end on their other workers as well; attempts that ran nowhere else
-// end by the report of the worker alone, half of the time.
-func (s *scenario) die(id string) {
-	for _, t := range s.placedTasks() {
+// loseWorker reports a worker gone. Attempts that also run on other workers are reported as lost first; attempts that
+// ran only there are reported half of the time and are otherwise ended by the health report alone.
+func (s *scenario) loseWorker(id string) {
+	for _, j := range s.placedJobs() {
 		lost := Result{Kind: ResultLost, Workers: []string{id}}
-		elsewhere := slices.ContainsFunc(t.placement, func(o string) bool { return o != id })
+		elsewhere := slices.ContainsFunc(j.placement, func(o string) bool { return o != id })
 		switch {
-		case !slices.Contains(t.placement, id):
+		case !slices.Contains(j.placement, id):
 		case elsewhere || s.random.IntN(2) == 0:
-			s.end(t, lost)
+			s.endAttempt(j, lost)
 		default:
-			s.settle(t, lost)
+			s.recordEnd(j, lost)
 		}
 	}
 	s.health(id, HealthGone)
 }
 
-// placedTasks lists the tasks with an attempt, by id.
-func (s *scenario) placedTasks() []*task {
-	var list []*task
-	for _, t := range s.live {
-		if t.placement != nil {
-			list = append(list, t)
+// placedJobs returns the jobs with an attempt in progress, sorted by id.
+func (s *scenario) placedJobs() []*simJob {
+	var list []*simJob
+	for _, j := range s.live {
+		if j.placement != nil {
+			list = append(list, j)
 		}
 	}
-	slices.SortFunc(list, func(a, b *task) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b *simJob) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
-// reconfigure changes guarantees and weight, and drains or undrains a worker.
+// reconfigure changes guarantees and weights, and drains or undrains a worker.
 func (s *scenario) reconfigure() {
 	s.doc = scenarioDocument(s.random, s.doc.Version+1)
 	s.doc.Drains = map[string]config.Drain{}
 	if s.random.IntN(2) == 0 {
-		id := s.ids[s.random.IntN(len(s.ids))]
+		id := s.workerIDs[s.random.IntN(len(s.workerIDs))]
 		s.doc.Drains[id] = config.Drain{VM: id}
 	}
 	s.configure()
 }
 
-// loseStart ends a starting attempt as refused by its first worker.
-func (s *scenario) loseStart() {
-	for _, t := range s.placedTasks() {
-		if t.ran.IsZero() && !t.stopping && s.present(t, t.attempt) {
-			s.end(t, Result{Kind: ResultNotStarted, Workers: t.placement[:1]})
+// refuseStart ends the first attempt that is still starting, as refused by its first worker.
+func (s *scenario) refuseStart() {
+	for _, j := range s.placedJobs() {
+		if j.ran.IsZero() && !j.stopping && s.responsive(j, j.attempt) {
+			s.endAttempt(j, Result{Kind: ResultNotStarted, Workers: j.placement[:1]})
 			return
 		}
 	}
@@ -319,7 +319,8 @@
 	}
 }
 
-// TestMechanismsMatter guards against vacuous checks: without a mechanism, the scenarios must report violations.
+// TestMechanismsMatter guards against checks that never fail: with one mechanism disabled, the scenarios must report
+// its violation.
 func TestMechanismsMatter(t *testing.T) {
 	cases := map[string]struct {
 		without options
@@ -334,7 +335,7 @@
 		"run once":      {options{restartRunOnce: true}, "run once"},
 		"unreachable":   {options{placeOnUnreachable: true}, "unreachable"},
 		"adjacency":     {options{ignoreAdjacency: true}, "adjacency"},
-		"quarantine":    {options{noQuarantine: true}, "bad worker"},
+		"quarantine":    {options{noQuarantine: true}, "faulty worker"},
 		"bursts":        {options{noFailureConfirmation: true}, "mistaken"},
 		"condemnation":  {options{noPermanentFailure: true}, "condemned"},
 		"unlimited":     {options{noQuarantineBound: true}, "quarantine bound"},
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -111,8 +111,7 @@
 	stale bool
 	// limit is the componentwise maximum of the free resources of any worker that may get work.
 	limit resource.Resources
-	// total is the sum of the free accelerators of workers that may get work, and accelerators that of all
-	// accelerators.
+	// total sums the free accelerators of workers that may get work; accelerators sums all accelerators of the rack.
 	total, accelerators int
 	// uncheckpointed sums the accelerators of placed jobs that lose their progress when stopped.
 	uncheckpointed int
