--- a/gateway/run.go
+++ b/gateway/attempt.go
@@ -17,52 +17,51 @@
 	"github.com/redwingthread/redwingthread/routing"
 )
 
-// Bounds of attempts.
+// Limits of attempts.
 const (
-	// maxAttempts bounds the attempts of one request.
+	// maxAttempts is the maximum number of attempts of one request.
 	maxAttempts = 4
-	// silentFloor is the least time after which an attempt of a repeatable request is given up to try another
-	// connection; silentFactor is the multiple of the mean exchange time. A connection that went silent for good then
-	// costs seconds instead of the whole deadline.
-	silentFloor  = 2 * time.Second
-	silentFactor = 8
-	// defaultExchange bounds an exchange of a service without a bound of its own.
-	defaultExchange = 30 * time.Second
-	// retryPause is the pause before the second attempt; it doubles with each further one.
-	retryPause = 2 * time.Millisecond
+	// An attempt of an idempotent request times out after attemptTimeoutFactor times the mean exchange time, but not
+	// before minAttemptTimeout. A connection that never responds then costs seconds instead of the whole deadline.
+	minAttemptTimeout    = 2 * time.Second
+	attemptTimeoutFactor = 8
+	// defaultExchangeTimeout is the exchange timeout of a service that configures none.
+	defaultExchangeTimeout = 30 * time.Second
+	// retryBackoff is the delay before the second attempt; it doubles with each further one.
+	retryBackoff = 2 * time.Millisecond
 )
 
-// run makes attempts until the request is completed or must not be tried again. Only repeatable requests and requests
-// provably not written are tried again.
-func (g *Gateway) run(ctx context.Context, c *call, attempts *request.Attempts) answer {
+// run makes attempts until the request is completed or must not be retried. Only idempotent requests and requests that
+// certainly did not run are retried.
+func (g *Gateway) run(ctx context.Context, c *callerRequest, attempts *request.Attempts) callerResponse {
 	if !g.seated.Load() {
-		return refusal(request.NotRun, errNoSeat())
+		return errorResponse(request.NotRun, errNoSeat())
 	}
 	var tried []string
 	var last endpoint.Result
 	for n := 1; ; n++ {
 		choice, err := g.dispatcher.acquire(ctx, c, tried)
 		if err != nil {
-			return refusal(g.outcomeOf(attempts), reason(err, last))
+			return errorResponse(g.outcomeOf(attempts), acquireError(err, last))
 		}
 		last = g.attempt(ctx, c, choice, attempts, n)
 		if last.Response != nil && !last.NotRun {
-			return g.completed(choice, last)
+			return g.completedResponse(choice, last)
 		}
-		g.dispatcher.release(choice, report(last))
+		g.dispatcher.release(choice, routingReport(last))
 		if !g.mayRetry(c, attempts, last, n) {
-			return refusal(g.outcomeOf(attempts), failure(last))
+			return errorResponse(g.outcomeOf(attempts), attemptError(last))
 		}
 		g.meters.retries.Inc(1)
 		tried = append(tried, choice.Endpoint)
-		if !pause(ctx, retryPause<<(n-1), c.deadline) {
-			return refusal(g.outcomeOf(attempts), failure(last))
+		if !waitBackoff(ctx, retryBackoff<<(n-1), c.deadline) {
+			return errorResponse(g.outcomeOf(attempts), attemptError(last))
 		}
 	}
 }
 
-// pause waits and reports whether there is time left afterwards.
-func pause(ctx context.Context, d time.Duration, deadline time.Time) bool {
+// waitBackoff waits for d. It returns false if the deadline comes first or ctx ends.
+func waitBackoff(ctx context.Context, d time.Duration, deadline time.Time) bool {
 	if time.Until(deadline) <= d {
 		return false
 	}
@@ -76,7 +75,7 @@
 	}
 }
 
-// outcomeOf says what the attempts so far allow to tell the caller.
+// outcomeOf returns the outcome of a request that is not completed after the given attempts.
 func (g *Gateway) outcomeOf(a *request.Attempts) request.Outcome {
 	if a.MayHaveRun() && !g.unsafe.claimNotRun {
 		return request.Unknown
@@ -85,7 +84,7 @@
 }
 
 // attempt makes one attempt at the chosen endpoint.
-func (g *Gateway) attempt(ctx context.Context, c *call, choice routing.Choice, attempts *request.Attempts, n int) endpoint.Result {
+func (g *Gateway) attempt(ctx context.Context, c *callerRequest, choice routing.Choice, attempts *request.Attempts, n int) endpoint.Result {
 	ctx, span := g.tracer.Start(ctx, "endpoint.attempt", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	header := c.header.Clone()
@@ -97,13 +96,13 @@
 		Header:      header,
 		Body:        c.body,
 		Deadline:    c.deadline,
-		Timeout:     g.exchangeTime(c),
+		Timeout:     g.exchangeTimeout(c),
 		BufferBytes: maxBody(c.config),
 		BeforeWrite: func() error {
 			if !time.Now().Before(c.deadline) {
 				return errDeadline()
 			}
-			g.dispatcher.dispatching(choice)
+			g.dispatcher.checkDispatch(choice)
 			attempts.Dispatch()
 			return nil
 		},
@@ -118,54 +117,58 @@
 	return result
 }
 
-// exchangeTime bounds one exchange.
-func (g *Gateway) exchangeTime(c *call) time.Duration {
+// exchangeTimeout returns the timeout of one exchange.
+func (g *Gateway) exchangeTimeout(c *callerRequest) time.Duration {
 	bound := time.Duration(c.config.TimeoutMS) * time.Millisecond
 	if bound <= 0 {
-		bound = defaultExchange
+		bound = defaultExchangeTimeout
 	}
-	if c.repeatable {
-		bound = min(bound, max(silentFloor, silentFactor*g.dispatcher.serviceTime(c.service)))
+	if c.idempotent {
+		bound = min(bound, max(minAttemptTimeout, attemptTimeoutFactor*g.dispatcher.serviceTime(c.service)))
 	}
 	return bound
 }
 
-// mayRetry decides whether another attempt is allowed. A connection that could not be opened cost no endpoint any work,
-// so the next attempt takes nothing from the retry budget.
-func (g *Gateway) mayRetry(c *call, attempts *request.Attempts, last endpoint.Result, n int) bool {
+// mayRetry reports whether another attempt is allowed, and takes it from the account's retry budget. An attempt after a
+// failed dial is free, since the endpoint did no work.
+func (g *Gateway) mayRetry(c *callerRequest, attempts *request.Attempts, last endpoint.Result, n int) bool {
 	if n >= maxAttempts || last.Failure == endpoint.Withheld {
 		return false
 	}
-	if attempts.MayHaveRun() && !attempts.Repeatable && !g.unsafe.replay {
+	if attempts.MayHaveRun() && !attempts.Repeatable && !g.unsafe.retryAlways {
 		return false
 	}
 	if !time.Now().Before(c.deadline) {
 		return false
 	}
-	return last.Failure == endpoint.NoConnection || g.dispatcher.retry(c.account.Name)
+	return last.Failure == endpoint.NoConnection || g.dispatcher.takeRetry(c.account.Name)
 }
 
-// completed returns the answer with a whole response. The slot of a large one is held until its body was read.
-func (g *Gateway) completed(choice routing.Choice, r endpoint.Result) answer {
+// completedResponse returns the response of a successful attempt. The slot of a streamed response is held until its
+// body is closed.
+func (g *Gateway) completedResponse(choice routing.Choice, r endpoint.Result) callerResponse {
 	response := &request.Response{Status: r.Response.Status, Header: r.Response.Header, Body: r.Response.Body}
-	a := answer{Result: request.Result{Outcome: request.Completed, Response: response}}
+	resp := callerResponse{Result: request.Result{Outcome: request.Completed, Response: response}}
 	if r.Response.Stream == nil {
-		g.dispatcher.release(choice, report(r))
-		return a
+		g.dispatcher.release(choice, routingReport(r))
+		return resp
 	}
-	a.length = r.Response.Length
-	a.stream = &slotStream{ReadCloser: r.Response.Stream, release: func() { g.dispatcher.release(choice, report(r)) }}
-	return a
+	resp.length = r.Response.Length
+	resp.stream = &slotStream{
+		ReadCloser: r.Response.Stream,
+		release:    func() { g.dispatcher.release(choice, routingReport(r)) },
+	}
+	return resp
 }
 
-// slotStream gives the slot back when the body was read.
+// slotStream is a response body that releases the endpoint slot when it is closed.
 type slotStream struct {
 	io.ReadCloser
 	release func()
 	closed  bool
 }
 
-// Close ends the exchange and gives the slot back.
+// Close ends the exchange and releases the slot. Further calls do not release it again.
 func (s *slotStream) Close() error {
 	err := s.ReadCloser.Close()
 	if !s.closed {
@@ -175,8 +178,8 @@
 	return err
 }
 
-// report translates what came of an attempt for the endpoint table.
-func report(r endpoint.Result) routing.Report {
+// routingReport converts the result of an attempt to a report for the endpoint table.
+func routingReport(r endpoint.Result) routing.Report {
 	out := routing.Report{Took: r.Took, Inflight: r.Inflight, Incarnation: r.Incarnation, Leaving: r.Leaving}
 	switch {
 	case r.Failure == endpoint.Busy || r.Failure == endpoint.Withheld:
@@ -195,27 +198,28 @@
 	return out
 }
 
-// failure returns the error of a failed attempt for the caller.
-func failure(r endpoint.Result) error {
+// attemptError returns the error that the caller gets for a failed attempt.
+func attemptError(r endpoint.Result) error {
 	switch {
 	case r.NotRun:
-		return errkind.New(errkind.Overloaded, "retry later with backoff", "endpoint refused the request before it ran")
+		return errkind.New(errkind.Overloaded, "retry later with backoff", "endpoint rejected the request without running it")
 	case r.Failure == endpoint.Withheld:
 		return r.Err
 	case !r.Written:
-		return errkind.Wrap(r.Err, errkind.Unavailable, "retry later", "no endpoint could be reached")
+		return errkind.Wrap(r.Err, errkind.Unavailable, "retry later", "request could not be sent to an endpoint")
 	case r.Failure == endpoint.Timeout:
 		return errkind.Wrap(r.Err, errkind.DeadlineExceeded, "ask the service whether the request ran",
-			"endpoint did not respond in time")
+			"endpoint did not respond within the timeout")
 	}
 	return errkind.Wrap(r.Err, errkind.Unknown, "ask the service whether the request ran",
-		"endpoint gave no valid response")
+		"endpoint sent no valid response")
 }
 
-// reason returns the error of a request that got no further slot: that of its last attempt if there was one.
-func reason(err error, last endpoint.Result) error {
+// acquireError returns the error of a request that got no slot: the error of its last attempt if there was one, else
+// err.
+func acquireError(err error, last endpoint.Result) error {
 	if last.Err != nil || last.NotRun {
-		return failure(last)
+		return attemptError(last)
 	}
 	return err
 }
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -13,15 +13,16 @@
 	"github.com/redwingthread/redwingthread/endpoint"
 )
 
-// measured is the cost of requests on one path.
-type measured struct {
+// pathCost is the measured cost of requests on one path: directly to the endpoint or through the gateway.
+type pathCost struct {
 	p50, p99  time.Duration
 	perSecond float64
 	allocs    float64
 }
 
-// measure sends n requests one after the other, then n with 16 callers at once.
-func measure(b *testing.B, client *http.Client, url string, n int) (m measured) {
+// measure sends n requests sequentially for the latency and the allocations, then n from 16 concurrent callers for the
+// throughput.
+func measure(b *testing.B, client *http.Client, url string, n int) (m pathCost) {
 	body := bytes.Repeat([]byte("b"), 200)
 	send := func() {
 		r, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(body))
@@ -69,8 +70,9 @@
 	return m
 }
 
-// BenchmarkHop compares requests through the gateway with requests sent to the same endpoint directly, in one run over
-// loopback. Callers, gateway and endpoint share the process; allocations of the gateway are the difference of both.
+// BenchmarkHop compares requests through the gateway with requests sent directly to the same endpoint, in one run over
+// loopback. Callers, gateway and endpoint share the process, so the allocations of the gateway are the difference
+// between both paths.
 func BenchmarkHop(b *testing.B) {
 	g, front := serveLoopback(b, ListenerLimits{}, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -84,13 +86,13 @@
 	const n = 4000
 	for b.Loop() {
 		direct := measure(b, client, "http://"+address+"/work", n)
-		hop := measure(b, client, front+"/v1/services/scan/work", n)
+		viaGateway := measure(b, client, front+"/v1/services/scan/work", n)
 		b.ReportMetric(float64(direct.p50.Microseconds()), "direct-p50-µs")
-		b.ReportMetric(float64(hop.p50.Microseconds()), "gateway-p50-µs")
-		b.ReportMetric(float64(hop.p50)/float64(direct.p50), "p50-ratio")
-		b.ReportMetric(float64(hop.p99)/float64(direct.p99), "p99-ratio")
-		b.ReportMetric(hop.perSecond/direct.perSecond, "throughput-ratio")
-		b.ReportMetric(hop.perSecond, "gateway-req/s")
-		b.ReportMetric(hop.allocs-direct.allocs, "gateway-allocs/request")
+		b.ReportMetric(float64(viaGateway.p50.Microseconds()), "gateway-p50-µs")
+		b.ReportMetric(float64(viaGateway.p50)/float64(direct.p50), "p50-ratio")
+		b.ReportMetric(float64(viaGateway.p99)/float64(direct.p99), "p99-ratio")
+		b.ReportMetric(viaGateway.perSecond/direct.perSecond, "throughput-ratio")
+		b.ReportMetric(viaGateway.perSecond, "gateway-req/s")
+		b.ReportMetric(viaGateway.allocs-direct.allocs, "gateway-allocs/request")
 	}
 }
--- a/gateway/call.go
+++ b/gateway/caller_request.go
@@ -25,40 +25,41 @@
 
 const servicePrefix = "/v1/services/"
 
-// defaultMaxBody bounds bodies of a service without a bound of its own, in bytes.
+// defaultMaxBody is the maximum body size, in bytes, of a service that configures none.
 const defaultMaxBody = 1 << 20
 
-// call is one request of a caller, received directly or through another gateway.
-type call struct {
+// callerRequest is a request from a caller, received directly or forwarded by another gateway.
+type callerRequest struct {
 	id      string
 	account config.Account
 	service string
 	config  config.Service
 	method  string
-	// path is the escaped path below the service with the query, starting with a slash.
+	// path is the escaped path below the service, with the query. It starts with a slash.
 	path   string
 	header http.Header
 	body   []byte
 	// deadline is the caller's deadline.
 	deadline time.Time
-	// repeatable requests are idempotent by their method or the caller's word, and have no key.
-	repeatable bool
-	// key is the caller's key, or the issued one; its text is empty for repeatable requests.
+	// idempotent is true if the request has no key and is idempotent by its method or by the caller's header.
+	idempotent bool
+	// keyText and key are the caller's key or the one that the gateway issued. keyText is empty for idempotent
+	// requests.
 	keyText string
 	key     request.Key
-	// reserved is the part of the gateway's memory for bodies that the request holds, in bytes.
-	reserved int64
-	// issued is true if the gateway issued the key for this request, so that no other request can have it.
+	// reservedBytes is the share of Gateway.bodyBytes that the request holds.
+	reservedBytes int64
+	// issued is true if the gateway issued the key for this request, so no other request can use the key.
 	issued bool
 }
 
-// newID returns a request id that no other gateway incarnation gives out.
+// newID returns a request id that is unique across gateway incarnations.
 func (g *Gateway) newID() string {
 	return g.idPrefix + strconv.FormatUint(g.idCount.Add(1), 36)
 }
 
-// parseTarget reads service, path and key. It does not read the body.
-func (g *Gateway) parseTarget(r *http.Request, s *snapshot, account config.Account, c *call) error {
+// parseTarget parses the method, key, service, path and deadline. It does not read the body.
+func (g *Gateway) parseTarget(r *http.Request, s *snapshot, account config.Account, c *callerRequest) error {
 	c.account = account
 	c.method = r.Method
 	c.keyText = r.Header.Get(headerKey)
@@ -69,7 +70,7 @@
 		}
 		c.key = key
 	}
-	c.repeatable = c.keyText == "" && (idempotent(r.Method) || strings.EqualFold(r.Header.Get(headerIdempotent), "true"))
+	c.idempotent = c.keyText == "" && (idempotentMethod(r.Method) || strings.EqualFold(r.Header.Get(headerIdempotent), "true"))
 	rest := strings.TrimPrefix(r.URL.EscapedPath(), servicePrefix)
 	name, path, _ := strings.Cut(rest, "/")
 	c.service = name
@@ -88,13 +89,13 @@
 	return g.parseDeadline(r, c)
 }
 
-// errNoService is the refusal of a request for a service that is not configured.
+// errNoService returns the error of a request for a service that is not configured.
 func errNoService(name string) error {
 	return errkind.New(errkind.NotFound, "use the name of a configured service", "service %q is not configured", name)
 }
 
-// idempotent reports whether the method is idempotent by its definition.
-func idempotent(method string) bool {
+// idempotentMethod reports whether HTTP defines the method as idempotent.
+func idempotentMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodPut, http.MethodDelete, http.MethodOptions:
 		return true
@@ -102,8 +103,8 @@
 	return false
 }
 
-// parseDeadline reads Request-Timeout-Ms.
-func (g *Gateway) parseDeadline(r *http.Request, c *call) error {
+// parseDeadline sets the deadline from Request-Timeout-Ms or from the default timeout.
+func (g *Gateway) parseDeadline(r *http.Request, c *callerRequest) error {
 	timeout := g.options.Timeout
 	if text := r.Header.Get(headerTimeout); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// maxBody returns the bound of buffered bodies of a service, in bytes.
+// maxBody returns the maximum size of a buffered body of the service, in bytes.
 func maxBody(s config.Service) int64 {
 	if s.MaxBodyBytes <= 0 {
 		return defaultMaxBody
@@ -125,8 +126,8 @@
 	return s.MaxBodyBytes
 }
 
-// readBody reads the request body within the service's bound and the listener's time.
-func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request, c *call) error {
+// readBody reads the request body within the size limit of the service and the time limit of the listener.
+func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request, c *callerRequest) error {
 	if r.ContentLength == 0 {
 		return nil
 	}
@@ -134,14 +135,14 @@
 	if r.ContentLength > bound {
 		return errTooLarge(bound)
 	}
-	c.reserved = bound
+	c.reservedBytes = bound
 	if r.ContentLength > 0 {
-		c.reserved = r.ContentLength
+		c.reservedBytes = r.ContentLength
 	}
-	if g.bodyBytes.Add(c.reserved) > g.options.Listener.BodyBytes {
-		return errkind.New(errkind.Overloaded, "retry later with backoff", "bodies of waiting requests fill the memory")
+	if g.bodyBytes.Add(c.reservedBytes) > g.options.Listener.BodyBytes {
+		return errkind.New(errkind.Overloaded, "retry later with backoff", "memory for request bodies is exhausted")
 	}
-	// Not all response writers have deadlines; a test's recorder needs none.
+	// The error is ignored because some response writers, such as httptest.ResponseRecorder, have no deadlines.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(g.options.Listener.BodyTime))
 	var err error
 	if r.ContentLength > 0 {
@@ -158,21 +159,21 @@
 	if errors.As(err, &tooLarge) {
 		return errTooLarge(bound)
 	}
-	return errkind.Wrap(err, errkind.BadInput, "send the whole body", "request body ended early")
+	return errkind.Wrap(err, errkind.BadInput, "send the whole body", "request body could not be read completely")
 }
 
-// errTooLarge is the refusal of a body above the service's bound.
+// errTooLarge returns the error of a request body above the service's limit of bound bytes.
 func errTooLarge(bound int64) error {
-	return errkind.New(errkind.TooLarge, "send a smaller body", "request body is above %d bytes", bound)
+	return errkind.New(errkind.TooLarge, "send a smaller body", "request body exceeds %d bytes", bound)
 }
 
-// fingerprint identifies the content of the request.
-func (c *call) fingerprint() request.Fingerprint {
+// fingerprint returns the fingerprint of the method, the path and the body.
+func (c *callerRequest) fingerprint() request.Fingerprint {
 	return request.Fingerprint{Method: c.method, Path: c.service + c.path, BodyDigest: sha256.Sum256(c.body)}
 }
 
-// notForwarded lists header fields that end at the gateway, in canonical form: those of one connection, those of the
-// caller API, and the caller's token.
+// notForwarded holds the header fields, in canonical form, that the gateway does not forward: hop-by-hop fields, fields
+// of the caller API, and the caller's token.
 var notForwarded = map[string]bool{
 	"Authorization":       true,
 	"Connection":          true,
@@ -191,7 +192,7 @@
 	"Tracestate":          true,
 }
 
-// endToEnd returns a copy of the header without fields that end at the gateway.
+// endToEnd returns a copy of the header without the fields that the gateway does not forward.
 func endToEnd(from http.Header) http.Header {
 	to := make(http.Header, len(from)+4)
 	for name, values := range from {
--- a/gateway/dispatcher.go
+++ b/gateway/dispatcher.go
@@ -13,31 +13,31 @@
 	"github.com/redwingthread/redwingthread/routing"
 )
 
-// dispatcher joins the queues of the services with the endpoint table: it hands waiting requests to free slots.
+// dispatcher assigns the queued requests of each service to free endpoint slots.
 type dispatcher struct {
 	limits admission.Limits
 	mu     sync.Mutex
 	// The fields below are guarded by mu.
-	routes   *routing.Table
-	queues   map[string]*admission.Queue[*waiter]
-	weights  map[string]int
-	budgets  *admission.Budgets
-	percents map[string]int
-	// repump is set while a later look at the queues is scheduled.
-	repump bool
+	routes        *routing.Table
+	queues        map[string]*admission.Queue[*waiter]
+	weights       map[string]int
+	budgets       *admission.Budgets
+	retryPercents map[string]int
+	// dispatchScheduled is true while a timer for dispatchAll is pending.
+	dispatchScheduled bool
 }
 
-// waiter is a request that waits for a slot.
+// waiter is a queued request that waits for an endpoint slot.
 type waiter struct {
 	service  string
 	exclude  []string
 	mayProbe bool
 	choice   routing.Choice
-	// granted receives nil when choice is set, or the reason why the request was dropped.
+	// granted receives nil once choice is set, or an error if the request was dropped.
 	granted chan error
 }
 
-// newDispatcher returns a dispatcher without services.
+// newDispatcher returns a dispatcher without queues.
 func newDispatcher(routes *routing.Table, limits admission.Limits) *dispatcher {
 	return &dispatcher{
 		limits:  limits,
@@ -47,21 +47,21 @@
 	}
 }
 
-// setConfig takes over services, weights and budgets.
+// setConfig applies the services, account weights and retry budgets of the document.
 func (d *dispatcher) setConfig(doc *config.Document) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.routes.SetConfig(doc)
 	d.weights = make(map[string]int, len(doc.Accounts))
-	d.percents = make(map[string]int, len(doc.Accounts))
+	d.retryPercents = make(map[string]int, len(doc.Accounts))
 	for name, account := range doc.Accounts {
 		d.weights[name] = account.Weight
-		d.percents[name] = account.RetryBudgetPercent
+		d.retryPercents[name] = account.RetryBudgetPercent
 	}
-	d.pumpAllLocked()
+	d.dispatchAllLocked()
 }
 
-// queueLocked returns the queue of a service. The caller holds mu.
+// queueLocked returns the queue of a service and creates it if needed. The caller holds mu.
 func (d *dispatcher) queueLocked(service string) *admission.Queue[*waiter] {
 	q, ok := d.queues[service]
 	if !ok {
@@ -71,9 +71,10 @@
 	return q
 }
 
-// acquire waits for an endpoint with a free slot. The choice must be given back with release.
-func (d *dispatcher) acquire(ctx context.Context, c *call, exclude []string) (routing.Choice, error) {
-	w := &waiter{service: c.service, exclude: exclude, mayProbe: c.repeatable, granted: make(chan error, 1)}
+// acquire waits for an endpoint with a free slot, until the deadline of c or the end of ctx. The caller must pass the
+// choice to release.
+func (d *dispatcher) acquire(ctx context.Context, c *callerRequest, exclude []string) (routing.Choice, error) {
+	w := &waiter{service: c.service, exclude: exclude, mayProbe: c.idempotent, granted: make(chan error, 1)}
 	item := &admission.Item[*waiter]{Account: c.account.Name, Deadline: c.deadline, Value: w}
 	if err := d.offer(item); err != nil {
 		return routing.Choice{}, err
@@ -89,29 +90,30 @@
 	case err := <-w.granted:
 		return w.choice, err
 	case <-ctx.Done():
-		return d.giveUp(item, ctx.Err())
+		return d.cancelWait(item, ctx.Err())
 	}
 }
 
-// offer queues a request and dispatches what can be.
+// offer queues a request and dispatches queued requests to free slots.
 func (d *dispatcher) offer(item *admission.Item[*waiter]) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	q := d.queueLocked(item.Value.service)
-	pushedOut, err := q.Offer(item, time.Now())
-	if pushedOut != nil {
-		pushedOut.Value.granted <- errkind.New(errkind.Overloaded, "retry later with backoff",
-			"request was removed from a full queue")
+	evicted, err := q.Offer(item, time.Now())
+	if evicted != nil {
+		evicted.Value.granted <- errkind.New(errkind.Overloaded, "retry later with backoff",
+			"request was evicted from a full queue")
 	}
 	if err != nil {
 		return err
 	}
-	d.pumpLocked(item.Value.service)
+	d.dispatchLocked(item.Value.service)
 	return nil
 }
 
-// giveUp takes a waiting request out. If it was granted a slot in the meantime, the slot is used.
-func (d *dispatcher) giveUp(item *admission.Item[*waiter], reason error) (routing.Choice, error) {
+// cancelWait removes a request from its queue and returns the error for reason. If the request was granted a slot or
+// dropped in the meantime, it returns that result instead.
+func (d *dispatcher) cancelWait(item *admission.Item[*waiter], reason error) (routing.Choice, error) {
 	d.mu.Lock()
 	waiting := d.queueLocked(item.Value.service).Remove(item)
 	d.mu.Unlock()
@@ -123,21 +125,22 @@
 		return routing.Choice{}, errDeadline()
 	}
 	return routing.Choice{}, errkind.Wrap(reason, errkind.Unavailable, "send the request again",
-		"caller went away before the request was dispatched")
+		"caller disconnected before the request was dispatched")
 }
 
-// errDeadline is the refusal of work whose deadline passed before it was started.
+// errDeadline returns the error of a request whose deadline passed before it was dispatched.
 func errDeadline() error {
 	return errkind.New(errkind.DeadlineExceeded, "send the request with a longer Request-Timeout-Ms",
 		"deadline passed before the request was dispatched")
 }
 
-// pumpInterval is the time after which queues are looked at again without an event: load reports age, so that an
-// endpoint counted as full may become eligible without one.
-const pumpInterval = 10 * time.Millisecond
+// dispatchInterval is the time after which non-empty queues are checked again without an event. Load reports lose
+// weight with age, so an endpoint that counts as full can get a free slot without an event.
+const dispatchInterval = 10 * time.Millisecond
 
-// pumpLocked hands waiting requests of a service to free slots. The caller holds mu.
-func (d *dispatcher) pumpLocked(service string) {
+// dispatchLocked assigns the queued requests of a service to free slots, and schedules dispatchAll if some remain. The
+// caller holds mu.
+func (d *dispatcher) dispatchLocked(service string) {
 	q := d.queueLocked(service)
 	for q.Len() > 0 {
 		now := time.Now()
@@ -154,30 +157,30 @@
 		}
 		item.Value.granted <- nil
 	}
-	if q.Len() > 0 && !d.repump {
-		d.repump = true
-		time.AfterFunc(pumpInterval, d.pumpAll)
+	if q.Len() > 0 && !d.dispatchScheduled {
+		d.dispatchScheduled = true
+		time.AfterFunc(dispatchInterval, d.dispatchAll)
 	}
 }
 
-// pumpAll looks at all queues.
-func (d *dispatcher) pumpAll() {
+// dispatchAll dispatches the queued requests of all services. It runs on the timer of dispatchLocked.
+func (d *dispatcher) dispatchAll() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.repump = false
-	d.pumpAllLocked()
+	d.dispatchScheduled = false
+	d.dispatchAllLocked()
 }
 
-// pumpAllLocked looks at all queues. The caller holds mu.
-func (d *dispatcher) pumpAllLocked() {
+// dispatchAllLocked dispatches the queued requests of all services. The caller holds mu.
+func (d *dispatcher) dispatchAllLocked() {
 	for service, q := range d.queues {
 		if q.Len() > 0 {
-			d.pumpLocked(service)
+			d.dispatchLocked(service)
 		}
 	}
 }
 
-// release gives a choice back with what came of the exchange.
+// release returns the slot of a choice and records the result of its exchange.
 func (d *dispatcher) release(c routing.Choice, r routing.Report) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,60 +188,60 @@
 	if r.Kind == routing.Answered && r.Took > 0 {
 		d.queueLocked(c.Service).Served(r.Took)
 	}
-	d.pumpLocked(c.Service)
+	d.dispatchLocked(c.Service)
 }
 
-// dispatching asserts that the endpoint may get the request now.
-func (d *dispatcher) dispatching(c routing.Choice) {
+// checkDispatch asserts that the endpoint may get a request now.
+func (d *dispatcher) checkDispatch(c routing.Choice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.routes.Dispatching(c, time.Now())
 }
 
-// first counts a first attempt of the account.
-func (d *dispatcher) first(account string) {
+// countFirstAttempt credits the account's retry budget for a first attempt.
+func (d *dispatcher) countFirstAttempt(account string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budgets.First(account, d.percents[account])
+	d.budgets.First(account, d.retryPercents[account])
 }
 
-// retry takes a retry from the account's budget.
-func (d *dispatcher) retry(account string) bool {
+// takeRetry takes one retry from the account's budget and reports whether there was one.
+func (d *dispatcher) takeRetry(account string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.budgets.Retry(account)
 }
 
-// serviceTime returns the mean time of an exchange with the service, 0 if unknown.
+// serviceTime returns the mean duration of an exchange with the service, 0 if none was measured.
 func (d *dispatcher) serviceTime(service string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.queueLocked(service).ServiceTime()
 }
 
-// probes returns the probes that are due.
-func (d *dispatcher) probes() []routing.Probe {
+// dueProbes returns the endpoint probes that are due.
+func (d *dispatcher) dueProbes() []routing.Probe {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.routes.Probes(time.Now())
 }
 
-// probed takes in the result of a probe.
-func (d *dispatcher) probed(p routing.Probe, r routing.ProbeResult) {
+// applyProbe applies the result of a probe to the endpoint table.
+func (d *dispatcher) applyProbe(p routing.Probe, r routing.ProbeResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.routes.ProbeDone(p, r, time.Now())
-	d.pumpAllLocked()
+	d.dispatchAllLocked()
 }
 
-// LeavingEndpoints lists all endpoint incarnations known to leave, for heartbeats to peers.
+// LeavingEndpoints lists the endpoint incarnations that are known to be leaving, for heartbeats to peers.
 func (g *Gateway) LeavingEndpoints() []inner.EndpointIncarnation {
 	g.dispatcher.mu.Lock()
 	defer g.dispatcher.mu.Unlock()
 	return g.dispatcher.routes.Leaving(time.Now())
 }
 
-// LearnLeaving takes in leaving endpoint incarnations from a peer's heartbeat.
+// LearnLeaving records the leaving endpoint incarnations from a peer's heartbeat.
 func (g *Gateway) LearnLeaving(list []inner.EndpointIncarnation) {
 	if len(list) == 0 {
 		return
@@ -248,14 +251,14 @@
 	g.dispatcher.routes.Learn(list, time.Now())
 }
 
-// ObserveVMs takes in the platform's VM list.
+// ObserveVMs applies the platform's VM list to the endpoint table.
 func (g *Gateway) ObserveVMs(vms []infra.VM) {
 	g.dispatcher.mu.Lock()
 	defer g.dispatcher.mu.Unlock()
 	g.dispatcher.routes.ObserveVMs(vms, time.Now())
 }
 
-// EndpointStatus lists the endpoints as this gateway sees them.
+// EndpointStatus lists the state of all endpoints as seen by this gateway.
 func (g *Gateway) EndpointStatus() []routing.EndpointStatus {
 	g.dispatcher.mu.Lock()
 	defer g.dispatcher.mu.Unlock()
--- a/gateway/failure_test.go
+++ b/gateway/failure_test.go
@@ -15,16 +15,19 @@
 	"github.com/redwingthread/redwingthread/invariant"
 )
 
-// TestKeys guards against a key that runs twice when a caller repeats it at any gateway, before or after its owner died.
+// TestKeys guards against a request that runs twice when a caller repeats its key at any gateway, before or after the
+// gateway that issued the key fails.
 func TestKeys(t *testing.T) {
 	type step func(t *testing.T, f *fixture, a, b *node, key string)
-	expect := func(t *testing.T, r reply, outcome string, kind errkind.Kind) {
+	expect := func(t *testing.T, r testResponse, outcome string, kind errkind.Kind) {
 		t.Helper()
 		if r.outcome != outcome || r.kind != kind {
 			t.Errorf("got outcome %q kind %q, want %q %q", r.outcome, r.kind, outcome, kind)
 		}
 	}
-	post := func(key string) sending { return sending{account: "orders", method: "POST", key: key, body: "x"} }
+	post := func(key string) testRequest {
+		return testRequest{account: "orders", method: "POST", key: key, body: "x"}
+	}
 	cases := map[string]struct {
 		runs int
 		step step
@@ -52,7 +55,7 @@
 		}},
 		"owner killed while it runs": {1, func(t *testing.T, f *fixture, a, b *node, key string) {
 			for _, e := range f.endpoints {
-				e.takes = func() time.Duration { return time.Second }
+				e.serviceTime = func() time.Duration { return time.Second }
 			}
 			time.AfterFunc(300*time.Millisecond, func() { f.kill(a) })
 			expect(t, b.send(post(key)), "unknown", errkind.Unknown)
@@ -82,10 +85,10 @@
 		}},
 		"another content": {1, func(t *testing.T, f *fixture, a, b *node, key string) {
 			expect(t, a.send(post(key)), "completed", "")
-			for name, change := range map[string]func(s *sending){
-				"method": func(s *sending) { s.method = "PATCH" },
-				"path":   func(s *sending) { s.path = "/v1/services/scan/other" },
-				"body":   func(s *sending) { s.body = "y" },
+			for name, change := range map[string]func(s *testRequest){
+				"method": func(s *testRequest) { s.method = "PATCH" },
+				"path":   func(s *testRequest) { s.path = "/v1/services/scan/other" },
+				"body":   func(s *testRequest) { s.body = "y" },
 			} {
 				s := post(key)
 				change(&s)
@@ -101,7 +104,7 @@
 		}},
 		"caller gone while it runs": {1, func(t *testing.T, f *fixture, a, b *node, key string) {
 			for _, e := range f.endpoints {
-				e.takes = func() time.Duration { return 500 * time.Millisecond }
+				e.serviceTime = func() time.Duration { return 500 * time.Millisecond }
 			}
 			go a.send(post(key))
 			time.Sleep(100 * time.Millisecond)
@@ -109,11 +112,11 @@
 		}},
 		"refused with not_run until the end": {0, func(t *testing.T, f *fixture, a, b *node, key string) {
 			for _, e := range f.endpoints {
-				e.next = func(*http.Request) fault { return refusesRun }
+				e.nextFault = func(*http.Request) fault { return notRun503 }
 			}
 			expect(t, a.send(post(key)), "not_run", errkind.Overloaded)
 			for _, e := range f.endpoints {
-				e.next = nil
+				e.nextFault = nil
 			}
 			expect(t, b.send(post(key)), "not_run", errkind.Overloaded)
 		}},
@@ -126,7 +129,7 @@
 				key := a.newKey("orders")
 				c.step(t, f, a, b, key)
 				time.Sleep(20 * time.Second)
-				if n := f.ledger.of("x"); n != c.runs {
+				if n := f.runLog.count("x"); n != c.runs {
 					t.Errorf("request ran %d times, want %d", n, c.runs)
 				}
 			})
@@ -134,47 +137,47 @@
 	}
 }
 
-// TestBadInput guards against bad input that is forwarded to an endpoint or answered without a remedy.
+// TestBadInput guards against invalid requests that reach an endpoint or get the wrong status, error kind or outcome.
 func TestBadInput(t *testing.T) {
 	cases := map[string]struct {
-		change func(s *sending)
+		change func(s *testRequest)
 		status int
 		kind   errkind.Kind
 	}{
-		"unknown account":  {func(s *sending) { s.account = "nobody" }, 401, errkind.Unauthenticated},
-		"unknown service":  {func(s *sending) { s.path = "/v1/services/none/x" }, 404, errkind.NotFound},
-		"unknown path":     {func(s *sending) { s.path = "/v2" }, 404, errkind.NotFound},
-		"malformed key":    {func(s *sending) { s.key = "a/b" }, 400, errkind.BadInput},
-		"body too large":   {func(s *sending) { s.body = string(make([]byte, 1<<17)) }, 413, errkind.TooLarge},
-		"bad timeout":      {func(s *sending) { s.header = http.Header{headerTimeout: {"soon"}} }, 400, errkind.BadInput},
-		"timeout too long": {func(s *sending) { s.timeout = time.Hour }, 400, errkind.BadInput},
-		"method CONNECT":   {func(s *sending) { s.method = "CONNECT" }, 400, errkind.BadInput},
-		"GET of a key":     {func(s *sending) { s.method, s.path = "GET", "/v1/keys" }, 400, errkind.BadInput},
+		"unknown account":  {func(s *testRequest) { s.account = "nobody" }, 401, errkind.Unauthenticated},
+		"unknown service":  {func(s *testRequest) { s.path = "/v1/services/none/x" }, 404, errkind.NotFound},
+		"unknown path":     {func(s *testRequest) { s.path = "/v2" }, 404, errkind.NotFound},
+		"malformed key":    {func(s *testRequest) { s.key = "a/b" }, 400, errkind.BadInput},
+		"body too large":   {func(s *testRequest) { s.body = string(make([]byte, 1<<17)) }, 413, errkind.TooLarge},
+		"bad timeout":      {func(s *testRequest) { s.header = http.Header{headerTimeout: {"soon"}} }, 400, errkind.BadInput},
+		"timeout too long": {func(s *testRequest) { s.timeout = time.Hour }, 400, errkind.BadInput},
+		"method CONNECT":   {func(s *testRequest) { s.method = "CONNECT" }, 400, errkind.BadInput},
+		"GET of a key":     {func(s *testRequest) { s.method, s.path = "GET", "/v1/keys" }, 400, errkind.BadInput},
 	}
 	inBubble(t, 3, 8, func(t *testing.T, f *fixture) {
 		g := f.start("vm-0", "i-0", "fd-0", nil)
 		for name, c := range cases {
-			s := sending{account: "orders", method: "POST", body: "x"}
+			s := testRequest{account: "orders", method: "POST", body: "x"}
 			c.change(&s)
 			if r := g.send(s); r.status != c.status || r.kind != c.kind || r.outcome != "not_run" {
 				t.Errorf("%s: got %+v", name, r)
 			}
 		}
-		if n := len(f.ledger.all()); n != 0 {
+		if n := len(f.runLog.all()); n != 0 {
 			t.Errorf("%d requests reached an endpoint", n)
 		}
 	})
 }
 
-// TestSilentConnections guards against old connections that go silent for good costing more than seconds, or the
-// endpoints behind them.
+// TestSilentConnections guards against pooled connections that stop delivering data without being closed. They must
+// delay requests by a few seconds at most, and their endpoints must not be ejected for them.
 func TestSilentConnections(t *testing.T) {
-	t.Run("with rules", func(t *testing.T) { silentConnections(t, nil) })
-	t.Run("without rules", func(t *testing.T) { silentConnections(t, func(n *node) { n.pools.UnsafeTrust() }) })
+	t.Run("with rules", func(t *testing.T) { checkSilentConnections(t, nil) })
+	t.Run("without rules", func(t *testing.T) { checkSilentConnections(t, func(n *node) { n.pools.UnsafeTrust() }) })
 }
 
-// silentConnections expects the rules to hold unless unsafe switches them off.
-func silentConnections(t *testing.T, unsafe func(*node)) {
+// checkSilentConnections expects no faults, or some if unsafe is set and disables rules.
+func checkSilentConnections(t *testing.T, unsafe func(*node)) {
 	inBubble(t, 3, 8, func(t *testing.T, f *fixture) {
 		f.unsafe = unsafe
 		var faults []string
@@ -185,7 +188,7 @@
 			for i := range n {
 				all.Go(func() {
 					start := time.Now()
-					r := g.send(sending{account: "orders", method: "PUT", body: fmt.Sprint(i), timeout: 10 * time.Second})
+					r := g.send(testRequest{account: "orders", method: "PUT", body: fmt.Sprint(i), timeout: 10 * time.Second})
 					mu.Lock()
 					defer mu.Unlock()
 					slowest = max(slowest, time.Since(start))
@@ -209,7 +212,7 @@
 		}
 		for _, e := range g.EndpointStatus() {
 			if e.Ejected || e.Gone {
-				faults = append(faults, fmt.Sprintf("endpoint %s is lost for silent connections", e.Endpoint))
+				faults = append(faults, fmt.Sprintf("endpoint %s is out of use because of silent connections", e.Endpoint))
 			}
 		}
 		if len(faults) > 0 != (unsafe != nil) {
@@ -218,8 +221,8 @@
 	})
 }
 
-// TestLeaving guards against work for a leaving endpoint more than 3 s after the first sign from any source, and against
-// a new incarnation that never gets work.
+// TestLeaving guards against requests to a leaving endpoint more than 3 s after the first notice from any source, and
+// against a new incarnation of the endpoint that never gets requests.
 func TestLeaving(t *testing.T) {
 	signs := map[string]func(f *fixture, g *node){
 		"own response": func(f *fixture, g *node) { f.endpoints["e-0"].leaving = true },
@@ -237,11 +240,11 @@
 				g := f.start("vm-0", "i-0", "fd-0", nil)
 				load := func(d time.Duration) {
 					for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-						g.send(sending{account: "orders", method: "POST", body: "x"})
+						g.send(testRequest{account: "orders", method: "POST", body: "x"})
 					}
 				}
 				worked := func() bool {
-					return slices.ContainsFunc(f.ledger.all(), func(r run) bool { return r.endpoint == "e-0" })
+					return slices.ContainsFunc(f.runLog.all(), func(r run) bool { return r.endpoint == "e-0" })
 				}
 				load(time.Second)
 				if !worked() {
@@ -249,7 +252,7 @@
 				}
 				sign(f, g)
 				load(3 * time.Second)
-				f.ledger.runs = nil
+				f.runLog.runs = nil
 				load(5 * time.Second)
 				if worked() {
 					t.Error("leaving endpoint got work")
@@ -270,7 +273,8 @@
 	}
 }
 
-// TestFailureDomainLost guards against requests that fail while endpoints of other failure domains work.
+// TestFailureDomainLost guards against requests that fail because all endpoints of the gateway's failure domain are
+// down, while endpoints of other failure domains work.
 func TestFailureDomainLost(t *testing.T) {
 	inBubble(t, 6, 8, func(t *testing.T, f *fixture) {
 		g := f.start("vm-0", "i-0", "fd-0", nil)
@@ -279,11 +283,11 @@
 				f.net.kill("e-0")
 				f.net.kill("e-3")
 			}
-			if r := g.send(sending{account: "orders", method: "POST", body: "x"}); i > 30 && r.outcome != "completed" {
+			if r := g.send(testRequest{account: "orders", method: "POST", body: "x"}); i > 30 && r.outcome != "completed" {
 				t.Errorf("request %d got %+v", i, r)
 			}
 		}
-		for _, r := range f.ledger.all()[:20] {
+		for _, r := range f.runLog.all()[:20] {
 			if r.endpoint != "e-0" && r.endpoint != "e-3" {
 				t.Errorf("request ran at %s while local endpoints worked", r.endpoint)
 			}
@@ -291,7 +295,8 @@
 	})
 }
 
-// TestSeats guards against a gateway that opens connections while more gateways live than share them.
+// TestSeats guards against a gateway that opens connections while there are more live gateways than seats, and so
+// exceeds the connection limit of the endpoints.
 func TestSeats(t *testing.T) {
 	inBubble(t, 3, 8, func(t *testing.T, f *fixture) {
 		f.doc.Policy.GatewaySeats = 2
@@ -304,12 +309,12 @@
 		if ok, _ := c.Ready(); ok {
 			t.Error("gateway without a seat is ready")
 		}
-		r := c.send(sending{account: "orders", method: "POST", body: "x"})
+		r := c.send(testRequest{account: "orders", method: "POST", body: "x"})
 		if r.outcome != "not_run" || r.kind != errkind.Unavailable || c.pools.OpenTotal() != 0 {
 			t.Errorf("got %+v and %d connections", r, c.pools.OpenTotal())
 		}
-		// A request with a key of a seated gateway needs no connection of this one.
-		if r := c.send(sending{account: "orders", method: "POST", key: a.newKey("orders")}); r.outcome != "completed" {
+		// A request with a key of a seated gateway is forwarded and needs no endpoint connection of this one.
+		if r := c.send(testRequest{account: "orders", method: "POST", key: a.newKey("orders")}); r.outcome != "completed" {
 			t.Errorf("forwarded request got %+v", r)
 		}
 		f.kill(a)
@@ -320,14 +325,15 @@
 	})
 }
 
-// TestShutdown guards against requests cut off by a planned stop, and needs the wait for accepted requests to pass.
+// TestShutdown guards against requests that a graceful shutdown aborts. Without the wait for accepted requests, the
+// assertion in Shutdown must fail.
 func TestShutdown(t *testing.T) {
-	for _, cut := range []bool{false, true} {
-		t.Run(fmt.Sprintf("cut=%v", cut), func(t *testing.T) {
+	for _, skipDrain := range []bool{false, true} {
+		t.Run(fmt.Sprintf("cut=%v", skipDrain), func(t *testing.T) {
 			inBubble(t, 3, 4, func(t *testing.T, f *fixture) {
-				f.unsafe = func(n *node) { n.unsafe.cut = cut }
+				f.unsafe = func(n *node) { n.unsafe.skipDrain = skipDrain }
 				for _, e := range f.endpoints {
-					e.takes = func() time.Duration { return 200 * time.Millisecond }
+					e.serviceTime = func() time.Duration { return 200 * time.Millisecond }
 				}
 				g := f.start("vm-0", "i-0", "fd-0", nil)
 				counts := map[string]int{}
@@ -337,7 +343,7 @@
 				for range 8 {
 					callers.Go(func() {
 						for time.Now().Before(end) {
-							r := g.send(sending{account: "orders", method: "POST", body: "x"})
+							r := g.send(testRequest{account: "orders", method: "POST", body: "x"})
 							mu.Lock()
 							counts[r.outcome+string(r.kind)]++
 							mu.Unlock()
@@ -354,9 +360,9 @@
 				}
 				callers.Wait()
 				violations := len(f.log.Violations())
-				if cut {
+				if skipDrain {
 					if violations == 0 {
-						t.Error("requests were cut off and no assertion failed")
+						t.Error("requests were aborted and no assertion failed")
 					}
 					f.log = &invariant.Log{}
 					return
--- a/gateway/fake_test.go
+++ b/gateway/fake_endpoint_test.go
@@ -14,19 +14,19 @@
 	"github.com/redwingthread/redwingthread/endpoint"
 )
 
-// fault is what a fake endpoint does wrong in one exchange.
+// fault is a deliberate fault of a fake endpoint in one exchange.
 type fault string
 
 const (
 	healthy    fault = ""
 	truncated  fault = "truncated"
 	corrupted  fault = "corrupted"
-	crossed    fault = "crossed"
+	crossed    fault = "crossed" // the response carries the id of another request
 	duplicated fault = "duplicated"
-	noAnswer   fault = "no answer"
+	noResponse fault = "no answer"
 	resetAfter fault = "reset after the request ran"
 	fails      fault = "fails"
-	refusesRun fault = "503 with not_run"
+	notRun503  fault = "503 with not_run"
 	plain503   fault = "503 without not_run"
 	chunked    fault = "no length"
 )
@@ -39,27 +39,27 @@
 	at       time.Time
 }
 
-// ledger records what all endpoints ran.
-type ledger struct {
+// runLog records the requests that all endpoints ran.
+type runLog struct {
 	mu   sync.Mutex
 	runs []run
 }
 
-func (l *ledger) add(r run) {
+func (l *runLog) add(r run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs = append(l.runs, r)
 }
 
 // all returns a copy of the recorded runs.
-func (l *ledger) all() []run {
+func (l *runLog) all() []run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]run(nil), l.runs...)
 }
 
-// of counts the runs with a tag.
-func (l *ledger) of(tag string) int {
+// count returns the number of runs with a tag.
+func (l *runLog) count(tag string) int {
 	n := 0
 	for _, r := range l.all() {
 		if r.tag == tag {
@@ -69,19 +69,19 @@
 	return n
 }
 
-// fakeEndpoint is an endpoint that keeps the contract except for the faults it is told to commit.
+// fakeEndpoint is an endpoint that keeps the endpoint contract except for injected faults.
 type fakeEndpoint struct {
 	id, address, incarnation string
 	slots                    int
-	// reportsArrival makes the endpoint report its load at the arrival of a request, not at its response.
+	// reportsArrival makes the endpoint report its load as of the arrival of the request instead of the response.
 	reportsArrival bool
-	ledger         *ledger
-	// takes returns the service time of a request.
-	takes func() time.Duration
-	// next returns the fault of the next exchange, nil for none.
-	next func(r *http.Request) fault
-	// delayAnswer returns the delay of a response after the request ran, nil for none.
-	delayAnswer func() time.Duration
+	runLog         *runLog
+	// serviceTime returns the service time of a request; nil for 0.
+	serviceTime func() time.Duration
+	// nextFault returns the fault of the next exchange; nil for no faults.
+	nextFault func(r *http.Request) fault
+	// responseDelay returns the delay of a response after the request ran; nil for 0.
+	responseDelay func() time.Duration
 
 	mu       sync.Mutex
 	inflight int
@@ -111,7 +111,7 @@
 	e.listener.Close()
 }
 
-// mostConns returns the most connections that were open at once.
+// mostConns returns the maximum number of connections that were open at the same time.
 func (e *fakeEndpoint) mostConns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -142,7 +142,7 @@
 	}
 }
 
-// slot waits for one of the endpoint's slots and returns the load at arrival.
+// slot waits for a free slot and returns the load at arrival.
 func (e *fakeEndpoint) slot() int {
 	e.mu.Lock()
 	e.inflight++
@@ -168,16 +168,16 @@
 	}
 }
 
-// exchange runs a request and responds. It reports whether the connection stays open.
+// exchange runs a request and writes the response. It reports whether the connection stays open.
 func (e *fakeEndpoint) exchange(c net.Conn, r *http.Request, body []byte) bool {
 	if r.Method == http.MethodOptions && r.URL.Path == "*" {
 		return e.respond(c, r, http.StatusNoContent, nil, healthy)
 	}
 	f := healthy
-	if e.next != nil {
-		f = e.next(r)
+	if e.nextFault != nil {
+		f = e.nextFault(r)
 	}
-	if f == refusesRun {
+	if f == notRun503 {
 		return e.respond(c, r, http.StatusServiceUnavailable, nil, f)
 	}
 	arrival := e.slot()
@@ -185,15 +185,15 @@
 		r.Header.Set("Arrival-Load", strconv.Itoa(arrival))
 	}
 	defer e.freeSlot()
-	e.ledger.add(run{endpoint: e.id, method: r.Method, tag: string(body), at: time.Now()})
-	if e.takes != nil {
-		time.Sleep(e.takes())
+	e.runLog.add(run{endpoint: e.id, method: r.Method, tag: string(body), at: time.Now()})
+	if e.serviceTime != nil {
+		time.Sleep(e.serviceTime())
 	}
-	if e.delayAnswer != nil {
-		time.Sleep(e.delayAnswer())
+	if e.responseDelay != nil {
+		time.Sleep(e.responseDelay())
 	}
 	switch f {
-	case noAnswer:
+	case noResponse:
 		time.Sleep(time.Hour)
 		return false
 	case resetAfter:
@@ -222,7 +222,7 @@
 	if leaving {
 		fmt.Fprintf(&b, "%s: leaving\r\n", endpoint.HeaderState)
 	}
-	if f == refusesRun {
+	if f == notRun503 {
 		fmt.Fprintf(&b, "%s: not_run\r\n", endpoint.HeaderOutcome)
 	}
 	if f == corrupted && len(body) > 0 {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -27,17 +27,17 @@
 	"github.com/redwingthread/redwingthread/invariant"
 )
 
-// fixture is a deployment of gateways over in-memory endpoints.
+// fixture is a deployment of gateways and fake endpoints on an in-memory network.
 type fixture struct {
 	t         testing.TB
 	net       *memNet
 	doc       *config.Document
-	ledger    *ledger
+	runLog    *runLog
 	endpoints map[string]*fakeEndpoint
 	mu        sync.Mutex
 	gateways  map[string]*node
 	log       *invariant.Log
-	// unsafe switches rules of each new gateway off, nil for none.
+	// unsafe disables rules of each new gateway; nil for none.
 	unsafe func(n *node)
 	cancel context.CancelFunc
 	ctx    context.Context
@@ -59,9 +59,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// newFixture makes a deployment with endpoints e-0 and so on, spread over the failure domains fd-0 to fd-2.
+// newFixture returns a deployment with endpoints e-0 and so on, spread over the failure domains fd-0 to fd-2.
 func newFixture(t testing.TB, endpoints, slots int) *fixture {
-	f := &fixture{t: t, net: newMemNet(time.Millisecond), ledger: &ledger{}, endpoints: map[string]*fakeEndpoint{},
+	f := &fixture{t: t, net: newMemNet(time.Millisecond), runLog: &runLog{}, endpoints: map[string]*fakeEndpoint{},
 		gateways: map[string]*node{}, log: &invariant.Log{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	service := config.Service{Name: "scan", TimeoutMS: 4000, MaxBodyBytes: 1 << 16, Endpoints: map[string]config.Endpoint{}}
@@ -69,7 +69,7 @@
 		id := fmt.Sprintf("e-%d", i)
 		service.Endpoints[id] = config.Endpoint{ID: id, FailureDomain: fmt.Sprintf("fd-%d", i%3), Address: id,
 			Slots: slots, MaxConnections: 64}
-		f.endpoints[id] = &fakeEndpoint{id: id, address: id, incarnation: id + "-1", slots: slots, ledger: f.ledger}
+		f.endpoints[id] = &fakeEndpoint{id: id, address: id, incarnation: id + "-1", slots: slots, runLog: f.runLog}
 		go f.endpoints[id].serve(f.net.listen(id))
 	}
 	f.doc = &config.Document{Accounts: map[string]config.Account{}, Services: map[string]config.Service{"scan": service}}
@@ -80,7 +80,7 @@
 	return f
 }
 
-// start adds a gateway.
+// start starts a gateway with the options that change modifies.
 func (f *fixture) start(vm, incarnation, failureDomain string, change func(*Options)) *node {
 	member := inner.Member{FailureDomain: failureDomain, VM: vm, Role: "gateway", Incarnation: incarnation, Address: vm}
 	n := &node{fixture: f, member: member, dead: make(chan struct{})}
@@ -130,7 +130,7 @@
 	return slices.Collect(maps.Values(f.gateways))
 }
 
-// kill ends a gateway without warning: callers and peers hear nothing more of it.
+// kill stops a gateway at once: its callers and peers get no more responses from it.
 func (f *fixture) kill(n *node) {
 	f.mu.Lock()
 	if f.gateways[n.member.VM] == n {
@@ -142,10 +142,10 @@
 	f.net.kill(n.member.VM)
 }
 
-// Call carries an inner message to a peer over the faults of the network.
+// Call implements inner.Caller over the in-memory network and its faults.
 func (n *node) Call(ctx context.Context, address string, req *inner.Request) (*inner.Response, error) {
 	f := n.fixture
-	if err := f.net.cross(ctx, n.member.VM, address); err != nil {
+	if err := f.net.deliver(ctx, n.member.VM, address); err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
@@ -165,7 +165,7 @@
 	}()
 	select {
 	case r := <-replies:
-		if err := f.net.cross(ctx, address, n.member.VM); err != nil {
+		if err := f.net.deliver(ctx, address, n.member.VM); err != nil {
 			return nil, err
 		}
 		return r.response, r.err
@@ -176,8 +176,9 @@
 	}
 }
 
-// reply is what a caller saw. Outcome is empty if the gateway died before it answered.
-type reply struct {
+// testResponse is the response that a caller received. The outcome is empty if the gateway was killed before it
+// responded.
+type testResponse struct {
 	status  int
 	outcome string
 	kind    errkind.Kind
@@ -186,8 +187,8 @@
 	aborted bool
 }
 
-// sending is a request of a test caller.
-type sending struct {
+// testRequest is a request of a caller. An empty path stands for the path /work of the service scan.
+type testRequest struct {
 	account string
 	method  string
 	key     string
@@ -197,8 +198,8 @@
 	header  http.Header
 }
 
-// send makes a request at a gateway. It returns early if the gateway dies.
-func (n *node) send(s sending) reply {
+// send sends a request to the gateway and waits for the response. It returns early if the gateway is killed.
+func (n *node) send(s testRequest) testResponse {
 	if s.path == "" {
 		s.path = "/v1/services/scan/work"
 	}
@@ -213,26 +214,26 @@
 	if s.timeout > 0 {
 		r.Header.Set(headerTimeout, strconv.FormatInt(s.timeout.Milliseconds(), 10))
 	}
-	done := make(chan reply, 1)
+	done := make(chan testResponse, 1)
 	go func() { done <- n.serveOnce(r) }()
 	select {
-	case answer := <-done:
-		return answer
+	case response := <-done:
+		return response
 	case <-n.dead:
-		return reply{}
+		return testResponse{}
 	}
 }
 
-// serveOnce runs the handler and reads the recorded response.
-func (n *node) serveOnce(r *http.Request) (out reply) {
+// serveOnce runs the HTTP handler and returns the recorded response.
+func (n *node) serveOnce(r *http.Request) (out testResponse) {
 	w := httptest.NewRecorder()
 	defer func() {
 		if recover() != nil {
-			out = reply{aborted: true}
+			out = testResponse{aborted: true}
 		}
 	}()
 	n.ServeHTTP(w, r)
-	out = reply{status: w.Code, outcome: w.Header().Get(headerOutcome), key: w.Header().Get(headerKey), body: w.Body.String()}
+	out = testResponse{status: w.Code, outcome: w.Header().Get(headerOutcome), key: w.Header().Get(headerKey), body: w.Body.String()}
 	var typed struct {
 		Kind errkind.Kind `json:"kind"`
 		Key  string       `json:"key"`
@@ -246,12 +247,12 @@
 	return out
 }
 
-// newKey gets a request key.
+// newKey requests a key for the account.
 func (n *node) newKey(account string) string {
-	return n.send(sending{account: account, method: http.MethodPost, path: "/v1/keys"}).key
+	return n.send(testRequest{account: account, method: http.MethodPost, path: "/v1/keys"}).key
 }
 
-// close ends all gateways and endpoints.
+// close stops all gateways and endpoints.
 func (f *fixture) close() {
 	f.cancel()
 	for _, n := range f.nodes() {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -15,14 +15,15 @@
 	"github.com/redwingthread/redwingthread/request"
 )
 
-// Bounds of forwarding. The owner recognises a repeat by its key, so a call that failed may be made again.
+// Limits of forwarding. Forwarding is safe to retry, since the owner of the key detects a repeated request.
 const (
-	forwardTries = 3
-	forwardPause = 50 * time.Millisecond
+	maxForwardAttempts = 3
+	// forwardBackoff is the delay before the second attempt; it doubles with each further one.
+	forwardBackoff = 50 * time.Millisecond
 )
 
-// forward sends a request to the gateway that issued its key. Without a word of the owner the outcome is unknown.
-func (g *Gateway) forward(ctx context.Context, c *call) answer {
+// forward sends a request to the gateway that issued its key. The outcome is unknown if that gateway sends no response.
+func (g *Gateway) forward(ctx context.Context, c *callerRequest) callerResponse {
 	ctx, span := g.tracer.Start(ctx, "gateway.forward", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	span.SetAttributes(attribute.String("redwing.owner", c.key.Owner.VM))
@@ -30,8 +31,8 @@
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
 	err := errOwnerGone()
-	for n := range forwardTries {
-		if n > 0 && !pause(ctx, forwardPause<<(n-1), c.deadline) {
+	for n := range maxForwardAttempts {
+		if n > 0 && !waitBackoff(ctx, forwardBackoff<<(n-1), c.deadline) {
 			break
 		}
 		owner, ok := g.findOwner(c.key.Owner)
@@ -40,20 +41,20 @@
 		}
 		response, callErr := g.options.Caller.Call(ctx, owner.Address, g.forwardMessage(ctx, c))
 		if callErr == nil && response.Forward != nil {
-			return fromForward(response.Forward)
+			return fromForwardResponse(response.Forward)
 		}
 		if callErr != nil {
 			err = errkind.Wrap(callErr, errkind.Unknown, "send the same request with the same key again",
 				"gateway that issued the key cannot be reached")
 		}
 	}
-	return refusal(request.Unknown, err)
+	return errorResponse(request.Unknown, err)
 }
 
-// errOwnerGone is the error of a request whose key's owner is no live gateway.
+// errOwnerGone returns the error of a request whose key was issued by a gateway incarnation that is not live.
 func errOwnerGone() error {
 	return errkind.New(errkind.Unknown, "ask the service whether the request ran, then use a new key",
-		"gateway that issued the key is gone")
+		"gateway that issued the key is not live")
 }
 
 // findOwner returns the live gateway incarnation that issued a key.
@@ -66,8 +67,8 @@
 	return inner.Member{}, false
 }
 
-// forwardMessage returns the message to the owner.
-func (g *Gateway) forwardMessage(ctx context.Context, c *call) *inner.Request {
+// forwardMessage returns the Forward message of a request.
+func (g *Gateway) forwardMessage(ctx context.Context, c *callerRequest) *inner.Request {
 	carrier := propagation.MapCarrier{}
 	traceContext.Inject(ctx, carrier)
 	return &inner.Request{
@@ -86,7 +87,7 @@
 	}
 }
 
-// toFields converts a header for a message, in order of the names.
+// toFields converts an HTTP header to message fields, sorted by name.
 func toFields(header http.Header) []inner.HeaderField {
 	fields := make([]inner.HeaderField, 0, len(header))
 	for name, values := range header {
@@ -101,7 +102,7 @@
 	return fields
 }
 
-// fromFields converts a header of a message.
+// fromFields converts message fields to an HTTP header.
 func fromFields(fields []inner.HeaderField) http.Header {
 	header := make(http.Header, len(fields)+4)
 	for _, f := range fields {
@@ -110,68 +111,69 @@
 	return header
 }
 
-// fromForward converts the owner's response. An owner's word that makes no sense counts as unknown.
-func fromForward(f *inner.ForwardResponse) answer {
+// fromForwardResponse converts the owner's response. A response without a valid outcome counts as unknown.
+func fromForwardResponse(f *inner.ForwardResponse) callerResponse {
 	switch request.Outcome(f.Outcome) {
 	case request.Completed:
-		return answer{Result: request.Result{Outcome: request.Completed, Response: &request.Response{
+		return callerResponse{Result: request.Result{Outcome: request.Completed, Response: &request.Response{
 			Status: f.Status, Header: fromFields(f.Header), Body: f.Body}}}
 	case request.NotRun:
 		if f.Error != nil {
-			return refusal(request.NotRun, f.Error)
+			return errorResponse(request.NotRun, f.Error)
 		}
 	}
 	if f.Error != nil {
-		return refusal(request.Unknown, f.Error)
+		return errorResponse(request.Unknown, f.Error)
 	}
-	return refusal(request.Unknown, errkind.New(errkind.Unknown, "ask the service whether the request ran",
-		"gateway that issued the key gave no outcome"))
+	return errorResponse(request.Unknown, errkind.New(errkind.Unknown, "ask the service whether the request ran",
+		"gateway that issued the key returned no valid outcome"))
 }
 
-// Handle serves a forwarded request of a peer; it is the part of inner.Handler for Forward messages.
+// Handle serves a request that a peer forwarded. It implements inner.Handler for Forward messages and returns a
+// BadInput error for any other message.
 func (g *Gateway) Handle(ctx context.Context, from inner.Member, req *inner.Request) (*inner.Response, error) {
 	if req.Forward == nil {
-		return nil, errkind.New(errkind.BadInput, "send a Forward message", "message is not for a gateway")
+		return nil, errkind.New(errkind.BadInput, "send a Forward message", "message has no Forward field")
 	}
 	start := time.Now()
 	ctx = traceContext.Extract(ctx, propagation.MapCarrier(req.TraceContext))
 	ctx, span := g.tracer.Start(ctx, "gateway.forwarded", trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
-	c := &call{id: req.Forward.RequestID}
-	a := g.handleForward(ctx, c, req.Forward)
-	span.SetAttributes(attribute.String("redwing.outcome", string(a.Outcome)),
+	c := &callerRequest{id: req.Forward.RequestID}
+	resp := g.handleForward(ctx, c, req.Forward)
+	span.SetAttributes(attribute.String("redwing.outcome", string(resp.Outcome)),
 		attribute.String("redwing.request_id", c.id))
-	response := &inner.Response{Forward: g.toForward(a, c)}
-	g.logForwarded(ctx, c, from, a, time.Since(start))
+	response := &inner.Response{Forward: g.toForwardResponse(resp, c)}
+	g.logForwarded(ctx, c, from, resp, time.Since(start))
 	return response, nil
 }
 
-// handleForward carries out a forwarded request.
-func (g *Gateway) handleForward(ctx context.Context, c *call, f *inner.Forward) answer {
+// handleForward runs a forwarded request.
+func (g *Gateway) handleForward(ctx context.Context, c *callerRequest, f *inner.Forward) callerResponse {
 	if g.lifecycle.enter() {
 		defer g.lifecycle.leave()
 	} else {
-		return g.refuseForwarded(c, f)
+		return g.rejectForwarded(c, f)
 	}
-	if err := g.fillForwarded(c, f); err != nil {
-		return refusal(request.Unknown, err)
+	if err := g.parseForward(c, f); err != nil {
+		return errorResponse(request.Unknown, err)
 	}
 	if c.key.Owner != g.owner {
-		return refusal(request.Unknown, errOwnerGone())
+		return errorResponse(request.Unknown, errOwnerGone())
 	}
 	return g.runKeyed(ctx, c)
 }
 
-// refuseForwarded answers a forwarded request after the gateway stopped accepting.
-func (g *Gateway) refuseForwarded(c *call, f *inner.Forward) answer {
-	if err := g.fillForwarded(c, f); err != nil {
-		return refusal(request.Unknown, err)
+// rejectForwarded responds to a forwarded request that arrives after the gateway stopped accepting requests.
+func (g *Gateway) rejectForwarded(c *callerRequest, f *inner.Forward) callerResponse {
+	if err := g.parseForward(c, f); err != nil {
+		return errorResponse(request.Unknown, err)
 	}
-	return g.refuseNew(c)
+	return g.rejectNew(c)
 }
 
-// fillForwarded reads a Forward message.
-func (g *Gateway) fillForwarded(c *call, f *inner.Forward) error {
+// parseForward fills c from a Forward message.
+func (g *Gateway) parseForward(c *callerRequest, f *inner.Forward) error {
 	key, err := request.Parse(f.Key)
 	if err != nil {
 		return err
@@ -202,20 +204,20 @@
 	return nil
 }
 
-// toForward converts an answer for a message. A body that is not buffered cannot be forwarded.
-func (g *Gateway) toForward(a answer, c *call) *inner.ForwardResponse {
-	if a.stream != nil {
-		a.stream.Close()
-		a = refusal(request.Unknown, errkind.New(errkind.TooLarge, "ask the service whether the request ran",
-			"response of %d bytes is too large to be forwarded", a.length))
+// toForwardResponse converts a response to a message. A streamed body cannot be forwarded: the outcome is then unknown.
+func (g *Gateway) toForwardResponse(resp callerResponse, c *callerRequest) *inner.ForwardResponse {
+	if resp.stream != nil {
+		resp.stream.Close()
+		resp = errorResponse(request.Unknown, errkind.New(errkind.TooLarge, "ask the service whether the request ran",
+			"response of %d bytes is too large to be forwarded", resp.length))
 	}
-	out := &inner.ForwardResponse{Outcome: string(a.Outcome)}
-	if a.Outcome != request.Completed {
-		out.Error = errkind.As(a.Err)
+	out := &inner.ForwardResponse{Outcome: string(resp.Outcome)}
+	if resp.Outcome != request.Completed {
+		out.Error = errkind.As(resp.Err)
 		return out
 	}
-	out.Status = a.Response.Status
-	out.Header = toFields(endToEnd(a.Response.Header))
-	out.Body = a.Response.Body
+	out.Status = resp.Response.Status
+	out.Header = toFields(endToEnd(resp.Response.Header))
+	out.Body = resp.Response.Body
 	return out
 }
--- a/gateway/options.go
+++ b/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the shell of the request path: it takes requests of callers over HTTP, queues them, dispatches them
-// to endpoints, and forwards those whose key another gateway issued.
+// Package gateway serves the caller API: it receives requests over HTTP, queues them, dispatches them to endpoints, and
+// forwards those whose key another gateway issued.
 package gateway
 
 import (
@@ -25,31 +25,30 @@
 	"github.com/redwingthread/redwingthread/routing"
 )
 
-// Options holds what a gateway needs from its daemon. Self, Config and Caller must be set; zero values elsewhere stand
-// for the defaults.
+// Options configures a Gateway. Self, Config and Caller are required; other zero values select the defaults.
 type Options struct {
-	// Self names this incarnation. A restart must have another incarnation.
+	// Self names this gateway incarnation. Each restart must use a new incarnation.
 	Self inner.Member
-	// Config returns the configuration in force, nil while there is none. The document must not change afterwards.
+	// Config returns the configuration in force, nil while there is none. A returned document must not be modified.
 	Config func() *config.Document
 	// Gateways returns the live gateways of the deployment, with or without this one.
 	Gateways func() []inner.Member
-	// Caller reaches the owners of keys.
+	// Caller sends requests to the gateways that issued keys.
 	Caller inner.Caller
 	// Dial opens connections to endpoints.
 	Dial endpoint.Dial
-	// Seed makes the choice of endpoints repeatable; 0 takes a random one.
+	// Seed makes the choice of endpoints reproducible; 0 selects a random seed.
 	Seed    uint64
 	Log     zerolog.Logger
 	Metrics metrics.Registry
 	Keys    request.Limits
 	Queue   admission.Limits
-	// Drained reports whether the gateway's VM is to be emptied; nil for never. A drained gateway is not ready, but serves
-	// what still comes.
+	// Drained reports whether the configuration drains the gateway's VM; nil means never. A drained gateway is not
+	// ready, but serves the requests that still arrive.
 	Drained func() bool
-	// ReactionTime is how long the balancer may send requests to a gateway that turned unready.
+	// ReactionTime is how long the load balancer may go on sending requests to a gateway that turned unready.
 	ReactionTime time.Duration
-	// Timeout is the deadline of requests without Request-Timeout-Ms; MaxTimeout bounds that header.
+	// Timeout is the timeout of requests without Request-Timeout-Ms; MaxTimeout is the maximum value of that header.
 	Timeout    time.Duration
 	MaxTimeout time.Duration
 	Listener   ListenerLimits
@@ -62,8 +61,8 @@
 	defaultMaxTimeout   = 5 * time.Minute
 )
 
-// fill puts the defaults in place of zero values.
-func (o *Options) fill() {
+// setDefaults replaces zero values by the defaults.
+func (o *Options) setDefaults() {
 	if o.Gateways == nil {
 		o.Gateways = func() []inner.Member { return nil }
 	}
@@ -88,14 +87,14 @@
 	if o.MaxTimeout == 0 {
 		o.MaxTimeout = defaultMaxTimeout
 	}
-	o.Listener.fill()
+	o.Listener.setDefaults()
 }
 
 // Gateway serves callers and forwarded requests. Its methods are safe for concurrent use.
 type Gateway struct {
 	options Options
 	owner   request.Owner
-	// configMu orders changes of snapshot and the dispatcher's configuration.
+	// configMu serializes changes of snapshot and of the dispatcher's configuration.
 	configMu   sync.Mutex
 	snapshot   atomic.Pointer[snapshot]
 	dispatcher *dispatcher
@@ -103,43 +102,44 @@
 	lifecycle  lifecycle
 	meters     meters
 	tracer     trace.Tracer
-	// seated is true once this gateway may open connections to endpoints; it stays so.
+	// seated is true once this gateway may open connections to endpoints. It is never reset.
 	seated atomic.Bool
 	keysMu sync.Mutex
 	// keys is guarded by keysMu.
 	keys *request.Table
-	// flights holds the running keys by sequence number; guarded by keysMu.
-	flights map[uint64]*flight
-	server  http.Server
-	// idPrefix and idCount make the request ids; a random id per request costs a system call.
+	// executions holds the running requests by the sequence number of their key; guarded by keysMu.
+	executions map[uint64]*execution
+	server     http.Server
+	// idPrefix and idCount form the request ids. A random id per request would cost a system call.
 	idPrefix string
 	idCount  atomic.Uint64
-	// bodyBytes is the memory reserved for bodies of accepted requests.
+	// bodyBytes is the memory reserved for the bodies of requests being served.
 	bodyBytes atomic.Int64
 	unsafe    unsafeRules
 }
 
-// unsafeRules switches rules of a gateway off. Only tests set them, to show that their checks need the rules.
+// unsafeRules disables safety rules of a gateway. Only tests set it, to show that their checks detect the missing rule.
 type unsafeRules struct {
-	// replay tries every failed request again.
-	replay bool
+	// retryAlways retries requests that may have run.
+	retryAlways bool
 	// claimNotRun reports not_run for every request without a response.
 	claimNotRun bool
-	// adopt runs requests with keys of other gateways.
-	adopt bool
-	// cut ends a shutdown without waiting for accepted requests.
-	cut bool
+	// runForeignKeys runs requests whose key another gateway issued.
+	runForeignKeys bool
+	// skipDrain makes Shutdown not wait for accepted requests.
+	skipDrain bool
 }
 
-// New returns a gateway that serves requests at once. Run must be called for its periodic work.
+// New returns a gateway that can serve requests at once. Run must be called for its periodic work. New returns an
+// Internal error if a required option is missing or the system has no random source.
 func New(o Options) (*Gateway, error) {
 	if o.Config == nil || o.Caller == nil || o.Self.VM == "" || o.Self.Incarnation == "" || o.Self.FailureDomain == "" {
 		return nil, errkind.New(errkind.Internal, "set Self, Config and Caller", "gateway options are incomplete")
 	}
-	o.fill()
+	o.setDefaults()
 	secret := make([]byte, 32)
 	if _, err := rand.Read(secret); err != nil {
-		return nil, errkind.Wrap(err, errkind.Internal, "check the system's random source", "no random secret")
+		return nil, errkind.Wrap(err, errkind.Internal, "check the system's random source", "random secret could not be read")
 	}
 	seed := o.Seed
 	for i := 0; seed == 0 && i < 8; i++ {
@@ -147,14 +147,14 @@
 	}
 	owner := request.Owner{FailureDomain: o.Self.FailureDomain, VM: o.Self.VM, Incarnation: o.Self.Incarnation}
 	g := &Gateway{
-		options:  o,
-		owner:    owner,
-		pools:    endpoint.NewPools(o.Dial),
-		tracer:   otel.Tracer("github.com/redwingthread/redwingthread/gateway"),
-		keys:     request.NewTable(owner, secret, o.Keys),
-		flights:  map[uint64]*flight{},
-		idPrefix: uuid.NewString() + "-",
-		meters:   newMeters(o.Metrics),
+		options:    o,
+		owner:      owner,
+		pools:      endpoint.NewPools(o.Dial),
+		tracer:     otel.Tracer("github.com/redwingthread/redwingthread/gateway"),
+		keys:       request.NewTable(owner, secret, o.Keys),
+		executions: map[uint64]*execution{},
+		idPrefix:   uuid.NewString() + "-",
+		meters:     newMeters(o.Metrics),
 	}
 	g.lifecycle.init()
 	g.dispatcher = newDispatcher(routing.NewTable(o.Self.FailureDomain, seed), o.Queue)
@@ -163,13 +163,13 @@
 	return g, nil
 }
 
-// maintenance is the time between rounds of periodic work.
-const maintenance = 100 * time.Millisecond
+// maintenanceInterval is the period of the work in Run.
+const maintenanceInterval = 100 * time.Millisecond
 
-// Run does the periodic work until ctx ends: it follows the configuration, takes a seat, probes endpoints and closes
-// unused connections.
+// Run does the periodic work until ctx ends: it applies configuration changes, takes a seat, probes endpoints, closes
+// idle connections and updates the metrics.
 func (g *Gateway) Run(ctx context.Context) {
-	ticker := time.NewTicker(maintenance)
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -184,15 +184,15 @@
 	}
 }
 
-// probe starts the probes of endpoints that are due.
+// probe starts the endpoint probes that are due, each on its own goroutine.
 func (g *Gateway) probe(ctx context.Context) {
 	if !g.seated.Load() {
 		return
 	}
-	for _, p := range g.dispatcher.probes() {
+	for _, p := range g.dispatcher.dueProbes() {
 		go func() {
 			r := g.pools.Probe(ctx, p.Address, p.MaxConnections, p.Ask)
-			g.dispatcher.probed(p, routing.ProbeResult(r))
+			g.dispatcher.applyProbe(p, routing.ProbeResult(r))
 		}()
 	}
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -9,7 +9,8 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// inBubble runs a test in virtual time over a fixture and checks that no assertion failed.
+// inBubble runs body on a new fixture in a synctest bubble, that is in virtual time, and checks that no assertion
+// failed.
 func inBubble(t *testing.T, endpoints, slots int, body func(t *testing.T, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -20,13 +21,13 @@
 		for _, v := range f.log.Violations() {
 			t.Errorf("violation %s", v)
 		}
-		// Service times and silent exchanges of the endpoints end by themselves.
+		// Lets the goroutines of the endpoints finish: a silent exchange sleeps for an hour.
 		time.Sleep(2 * time.Hour)
 	})
 }
 
-// TestExchangeFaults guards against a faulty exchange with an endpoint being passed on as whole, run twice, or reported
-// with an outcome that may be wrong.
+// TestExchangeFaults guards against a faulty exchange with an endpoint whose response is passed on as valid, whose
+// request runs twice, or whose outcome is reported wrongly.
 func TestExchangeFaults(t *testing.T) {
 	cases := map[string]struct {
 		fault    fault
@@ -47,9 +48,9 @@
 		"duplicated POST":                   {duplicated, "POST", "completed", "", 1},
 		"reset POST is not replayed":        {resetAfter, "POST", "unknown", errkind.Unknown, 1},
 		"reset DELETE is retried":           {resetAfter, "DELETE", "completed", "", 2},
-		"silent POST":                       {noAnswer, "POST", "unknown", errkind.DeadlineExceeded, 1},
-		"silent PUT is retried":             {noAnswer, "PUT", "completed", "", 2},
-		"503 with not_run is retried":       {refusesRun, "POST", "completed", "", 1},
+		"silent POST":                       {noResponse, "POST", "unknown", errkind.DeadlineExceeded, 1},
+		"silent PUT is retried":             {noResponse, "PUT", "completed", "", 2},
+		"503 with not_run is retried":       {notRun503, "POST", "completed", "", 1},
 		"503 without not_run is a response": {plain503, "POST", "completed", "", 1},
 	}
 	for name, c := range cases {
@@ -57,7 +58,7 @@
 			inBubble(t, 3, 8, func(t *testing.T, f *fixture) {
 				committed := false
 				for _, e := range f.endpoints {
-					e.next = func(*http.Request) fault {
+					e.nextFault = func(*http.Request) fault {
 						if committed {
 							return healthy
 						}
@@ -66,15 +67,15 @@
 					}
 				}
 				g := f.start("vm-0", "i-0", "fd-0", nil)
-				r := g.send(sending{account: "orders", method: c.method, body: "b", timeout: 10 * time.Second})
+				r := g.send(testRequest{account: "orders", method: c.method, body: "b", timeout: 10 * time.Second})
 				if r.outcome != c.outcome || r.kind != c.kind {
 					t.Errorf("got outcome %q kind %q body %q, want %q %q", r.outcome, r.kind, r.body, c.outcome, c.kind)
 				}
-				if n := f.ledger.of("b"); n != c.attempts {
+				if n := f.runLog.count("b"); n != c.attempts {
 					t.Errorf("request ran %d times, want %d", n, c.attempts)
 				}
-				// A second request shows that no later exchange gets a response left over from the first.
-				r = g.send(sending{account: "orders", method: "POST", body: "second"})
+				// A second request shows that no later exchange reads a response left over from the first.
+				r = g.send(testRequest{account: "orders", method: "POST", body: "second"})
 				if r.outcome != "completed" || r.body != "done:second" {
 					t.Errorf("second request got %q %q", r.outcome, r.body)
 				}
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -19,19 +19,20 @@
 	"github.com/redwingthread/redwingthread/request"
 )
 
-// answer is what a caller gets: a result, and the rest of the body if it is passed on while it arrives.
-type answer struct {
+// callerResponse is the response to a caller. stream holds a body of length bytes that is copied while it arrives, nil
+// if the body is buffered in the result.
+type callerResponse struct {
 	request.Result
 	stream io.ReadCloser
 	length int64
 }
 
-// refusal returns the answer of a request that ended with an error.
-func refusal(outcome request.Outcome, err error) answer {
-	return answer{Result: request.Result{Outcome: outcome, Err: err}}
+// errorResponse returns the response to a request that ended with an error.
+func errorResponse(outcome request.Outcome, err error) callerResponse {
+	return callerResponse{Result: request.Result{Outcome: outcome, Err: err}}
 }
 
-// traceContext is the W3C format of trace context.
+// traceContext reads and writes W3C trace context headers.
 var traceContext = propagation.TraceContext{}
 
 var _ inner.Handler = (*Gateway)(nil)
@@ -39,8 +40,8 @@
 // ServeHTTP serves the caller API.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
-		// Until the body is read, a refusal closes the connection: net/http would otherwise read the rest of the body
-		// before it sends the refusal, without a time limit.
+		// An error response sent before the body is read closes the connection: net/http would otherwise read the rest
+		// of the body first, without a time limit.
 		w.Header().Set("Connection", "close")
 	}
 	switch {
@@ -51,12 +52,12 @@
 	case strings.HasPrefix(r.URL.Path, servicePrefix):
 		g.serveService(w, r)
 	default:
-		g.write(w, &call{id: g.newID()}, refusal(request.NotRun, errkind.New(errkind.NotFound,
+		g.writeResponse(w, &callerRequest{id: g.newID()}, errorResponse(request.NotRun, errkind.New(errkind.NotFound,
 			"use /v1/keys or /v1/services/{service}/{path}", "path %s does not exist", r.URL.Path)))
 	}
 }
 
-// serveReady answers the balancer.
+// serveReady serves the readiness check of the load balancer.
 func (g *Gateway) serveReady(w http.ResponseWriter) {
 	ok, reason := g.Ready()
 	status := http.StatusOK
@@ -69,7 +70,7 @@
 	}{ok, reason})
 }
 
-// writeJSON writes a JSON body.
+// writeJSON writes body as a JSON response.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -78,16 +79,16 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(status)
-	// A caller that went away cannot be told.
+	// The error is ignored: the caller has disconnected.
 	_, _ = w.Write(data)
 }
 
 // serveKey issues a request key.
 func (g *Gateway) serveKey(w http.ResponseWriter, r *http.Request) {
-	c := &call{id: g.newID()}
+	c := &callerRequest{id: g.newID()}
 	key, err := g.issueFor(r, c)
 	if err != nil {
-		g.write(w, c, refusal(request.NotRun, err))
+		g.writeResponse(w, c, errorResponse(request.NotRun, err))
 		return
 	}
 	w.Header().Set(headerOutcome, string(request.Completed))
@@ -97,12 +98,12 @@
 	}{key.String()})
 }
 
-// issueFor issues a key to the account that asks for it.
-func (g *Gateway) issueFor(r *http.Request, c *call) (request.Key, error) {
+// issueFor authenticates a request for a key and issues the key to its account.
+func (g *Gateway) issueFor(r *http.Request, c *callerRequest) (request.Key, error) {
 	if r.Method != http.MethodPost {
 		return request.Key{}, errkind.New(errkind.BadInput, "use POST /v1/keys", "method is %s", r.Method)
 	}
-	if at, _ := g.lifecycle.state(); at == refusing {
+	if at, _ := g.lifecycle.state(); at == rejecting {
 		return request.Key{}, errShuttingDown()
 	}
 	s := g.current()
@@ -120,27 +121,27 @@
 	return g.issue(account.Name), nil
 }
 
-// issue returns a new key for an account.
+// issue returns a new key for the account.
 func (g *Gateway) issue(account string) request.Key {
 	g.keysMu.Lock()
 	defer g.keysMu.Unlock()
 	return g.keys.Issue(account)
 }
 
-// errNoConfig is the refusal of a gateway that has no configuration yet.
+// errNoConfig returns the error of a gateway that has no configuration yet.
 func errNoConfig() error {
 	return errkind.New(errkind.Unavailable, "retry later or at another gateway", "gateway has no configuration yet")
 }
 
-// errNoSeat is the refusal of a gateway that may not open connections to endpoints.
+// errNoSeat returns the error of a gateway that may not open connections to endpoints.
 func errNoSeat() error {
 	return errkind.New(errkind.Unavailable, "use another gateway", "more live gateways than seats")
 }
 
-// serveService handles a request to a service.
+// serveService serves a request to a service and records its metrics, span and log line.
 func (g *Gateway) serveService(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
-	c := &call{id: g.newID()}
+	c := &callerRequest{id: g.newID()}
 	ctx := traceContext.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := g.tracer.Start(ctx, "gateway.request", trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
@@ -148,32 +149,32 @@
 	if accepted {
 		defer g.lifecycle.leave()
 	}
-	defer func() { g.bodyBytes.Add(-c.reserved) }()
-	a := g.handle(ctx, w, r, c, accepted)
-	g.write(w, c, a)
+	defer func() { g.bodyBytes.Add(-c.reservedBytes) }()
+	resp := g.handle(ctx, w, r, c, accepted)
+	g.writeResponse(w, c, resp)
 	if span.IsRecording() {
-		span.SetAttributes(attribute.String("redwing.outcome", string(a.Outcome)),
+		span.SetAttributes(attribute.String("redwing.outcome", string(resp.Outcome)),
 			attribute.String("redwing.request_id", c.id), attribute.String("redwing.account", c.account.Name))
 	}
-	g.meters.answered(a.Outcome, time.Since(start))
-	g.logCall(ctx, c, a, time.Since(start))
+	g.meters.countResponse(resp.Outcome, time.Since(start))
+	g.logRequest(ctx, c, resp, time.Since(start))
 }
 
-// handle checks a request and carries it out.
-func (g *Gateway) handle(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call, accepted bool) answer {
+// handle validates a request and runs or forwards it.
+func (g *Gateway) handle(ctx context.Context, w http.ResponseWriter, r *http.Request, c *callerRequest, accepted bool) callerResponse {
 	err := g.receive(w, r, c)
 	if err != nil {
-		return refusal(g.refusedOutcome(c), err)
+		return errorResponse(g.rejectedOutcome(c), err)
 	}
 	if !accepted {
-		return g.refuseNew(c)
+		return g.rejectNew(c)
 	}
-	if c.repeatable {
-		g.dispatcher.first(c.account.Name)
+	if c.idempotent {
+		g.dispatcher.countFirstAttempt(c.account.Name)
 		attempts := &request.Attempts{Repeatable: true}
-		a := g.run(ctx, c, attempts)
-		attempts.CheckOutcome(a.Outcome)
-		return a
+		resp := g.run(ctx, c, attempts)
+		attempts.CheckOutcome(resp.Outcome)
+		return resp
 	}
 	if c.keyText == "" {
 		c.key = g.issue(c.account.Name)
@@ -181,7 +182,7 @@
 		c.issued = true
 		w.Header().Set(headerKey, c.keyText)
 	}
-	if c.key.Owner != g.owner && g.unsafe.adopt {
+	if c.key.Owner != g.owner && g.unsafe.runForeignKeys {
 		c.key = g.issue(c.account.Name)
 	}
 	if c.key.Owner != g.owner {
@@ -190,11 +191,11 @@
 	return g.runKeyed(ctx, c)
 }
 
-// receive reads and checks everything of a request before it can run.
-func (g *Gateway) receive(w http.ResponseWriter, r *http.Request, c *call) error {
+// receive authenticates a request, parses it and reads its body.
+func (g *Gateway) receive(w http.ResponseWriter, r *http.Request, c *callerRequest) error {
 	s := g.current()
 	if s == nil {
-		// The key, if any, decides what the caller can be told.
+		// rejectedOutcome needs the key.
 		c.keyText = r.Header.Get(headerKey)
 		return errNoConfig()
 	}
@@ -210,9 +211,9 @@
 	return g.readBody(w, r, c)
 }
 
-// refusedOutcome says what is known of a request that was refused before its key was looked up. A request with the same
-// key may have run before, which only the key's owner knows.
-func (g *Gateway) refusedOutcome(c *call) request.Outcome {
+// rejectedOutcome returns the outcome of a request that was rejected before its key was looked up. It is unknown for a
+// valid key: an earlier request with the key may have run, which only the owner of the key knows.
+func (g *Gateway) rejectedOutcome(c *callerRequest) request.Outcome {
 	if c.keyText == "" {
 		return request.NotRun
 	}
@@ -222,41 +223,43 @@
 	return request.Unknown
 }
 
-// write sends the answer to the caller. A large body that turns out not to be whole ends in an aborted exchange.
-func (g *Gateway) write(w http.ResponseWriter, c *call, a answer) {
-	if a.stream != nil {
-		defer a.stream.Close()
+// writeResponse sends the response to the caller. If a streamed body turns out to be incomplete, it aborts the
+// connection.
+func (g *Gateway) writeResponse(w http.ResponseWriter, c *callerRequest, resp callerResponse) {
+	if resp.stream != nil {
+		defer resp.stream.Close()
 	}
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.options.Listener.WriteTime))
 	header := w.Header()
-	header.Set(headerOutcome, string(a.Outcome))
+	header.Set(headerOutcome, string(resp.Outcome))
 	header.Set(headerRequestID, c.id)
-	if a.Outcome != request.Completed {
-		g.writeError(w, a)
+	if resp.Outcome != request.Completed {
+		g.writeError(w, resp)
 		return
 	}
-	for name, values := range endToEnd(a.Response.Header) {
+	for name, values := range endToEnd(resp.Response.Header) {
 		header[name] = values
 	}
-	length := int64(len(a.Response.Body))
-	if a.stream != nil {
-		length = a.length
+	length := int64(len(resp.Response.Body))
+	if resp.stream != nil {
+		length = resp.length
 	}
-	setLength(header, c.method, a, length)
-	w.WriteHeader(a.Response.Status)
-	if a.stream == nil {
-		_, _ = w.Write(a.Response.Body)
+	setLength(header, c.method, resp, length)
+	w.WriteHeader(resp.Response.Status)
+	if resp.stream == nil {
+		_, _ = w.Write(resp.Response.Body)
 		return
 	}
-	g.passOn(w, c, a, length)
+	g.streamBody(w, c, resp, length)
 }
 
-// setLength sets Content-Length where a response may have one. The response to a HEAD request keeps the endpoint's.
-func setLength(header http.Header, method string, a answer, length int64) {
+// setLength sets Content-Length if the response may have one. The response to a HEAD request keeps the value that the
+// endpoint sent.
+func setLength(header http.Header, method string, resp callerResponse, length int64) {
 	switch {
-	case a.Response.Status == http.StatusNoContent || a.Response.Status == http.StatusNotModified:
+	case resp.Response.Status == http.StatusNoContent || resp.Response.Status == http.StatusNotModified:
 	case method == http.MethodHead:
-		if text := a.Response.Header.Get("Content-Length"); text != "" {
+		if text := resp.Response.Header.Get("Content-Length"); text != "" {
 			header.Set("Content-Length", text)
 		}
 	default:
@@ -264,22 +267,23 @@
 	}
 }
 
-// passOn copies a large body. It panics with http.ErrAbortHandler if the body is not whole, which makes net/http close
-// the caller's connection: the caller must not take the part for the whole.
-func (g *Gateway) passOn(w http.ResponseWriter, c *call, a answer, length int64) {
-	n, err := io.Copy(w, a.stream)
+// streamBody copies a streamed body to the caller. If the body is incomplete, it panics with http.ErrAbortHandler,
+// which makes net/http close the connection, so that the caller does not take a truncated body for a complete one.
+func (g *Gateway) streamBody(w http.ResponseWriter, c *callerRequest, resp callerResponse, length int64) {
+	n, err := io.Copy(w, resp.stream)
 	if err != nil || n != length {
 		g.meters.aborted.Inc(1)
 		g.options.Log.Warn().Str("request", c.id).Str("account", c.account.Name).Int64("sent", n).Int64("length", length).
-			Str("failure_domain", g.owner.FailureDomain).AnErr("error", err).Msg("large body aborted")
+			Str("failure_domain", g.owner.FailureDomain).AnErr("error", err).
+			Msg("response body not sent completely, caller connection aborted")
 		panic(http.ErrAbortHandler)
 	}
-	invariant.Check(n == length, invariant.AnswerWhole, "large body of %d bytes was passed on with %d", length, n)
+	invariant.Check(n == length, invariant.AnswerWhole, "response body of %d bytes was streamed with %d bytes", length, n)
 }
 
-// writeError sends an error of the caller API.
-func (g *Gateway) writeError(w http.ResponseWriter, a answer) {
-	typed := errkind.As(a.Err)
+// writeError writes an error response of the caller API.
+func (g *Gateway) writeError(w http.ResponseWriter, resp callerResponse) {
+	typed := errkind.As(resp.Err)
 	if typed == nil {
 		typed = errkind.As(errkind.New(errkind.Internal, "report this with the request id", "request has no result"))
 	}
@@ -291,5 +295,5 @@
 		Message string          `json:"message"`
 		Remedy  string          `json:"remedy"`
 		Outcome request.Outcome `json:"outcome"`
-	}{typed.Kind, typed.Message, typed.Remedy, a.Outcome})
+	}{typed.Kind, typed.Message, typed.Remedy, resp.Outcome})
 }
--- a/gateway/keyed.go
+++ b/gateway/keyed.go
@@ -7,103 +7,105 @@
 	"github.com/redwingthread/redwingthread/request"
 )
 
-// flight is a running key. Requests that repeat it wait for done.
-type flight struct {
+// execution is a running request with a key. Requests that repeat the key wait for done.
+type execution struct {
 	done chan struct{}
 	// result is set before done is closed.
 	result request.Result
 }
 
-// runKeyed carries out a request whose key this gateway issued, or gives what is known of it.
-func (g *Gateway) runKeyed(ctx context.Context, c *call) answer {
-	d, f, outcome, err := g.begin(c)
+// runKeyed runs a request whose key this gateway issued. A repeat of the key waits for the running request or gets its
+// stored result.
+func (g *Gateway) runKeyed(ctx context.Context, c *callerRequest) callerResponse {
+	d, e, outcome, err := g.begin(c)
 	if err != nil {
-		return refusal(outcome, err)
+		return errorResponse(outcome, err)
 	}
 	switch d.Action {
 	case request.Replay:
 		g.meters.replayed.Inc(1)
-		return answer{Result: d.Result}
+		return callerResponse{Result: d.Result}
 	case request.Join:
-		return join(ctx, c, f)
+		return awaitExecution(ctx, c, e)
 	}
-	g.dispatcher.first(c.account.Name)
+	g.dispatcher.countFirstAttempt(c.account.Name)
 	if !c.issued {
-		// The caller may come back for the result at another gateway after its connection broke.
+		// The request outlives the caller's connection: the caller may fetch the result through another gateway.
 		ctx = context.WithoutCancel(ctx)
 	}
-	a := g.run(ctx, c, d.Attempts)
-	g.finish(c.key.Sequence, f, storable(a))
-	return a
+	resp := g.run(ctx, c, d.Attempts)
+	g.finish(c.key.Sequence, e, storable(resp))
+	return resp
 }
 
-// begin looks a key up and registers the flight of one that may run.
-func (g *Gateway) begin(c *call) (request.Decision, *flight, request.Outcome, error) {
+// begin looks up the key of c and registers an execution if the request may run.
+func (g *Gateway) begin(c *callerRequest) (request.Decision, *execution, request.Outcome, error) {
 	g.keysMu.Lock()
 	defer g.keysMu.Unlock()
 	d, outcome, err := g.keys.Begin(c.account.Name, c.key, c.fingerprint())
 	if err != nil {
 		return d, nil, outcome, err
 	}
-	f := g.flights[c.key.Sequence]
+	e := g.executions[c.key.Sequence]
 	if d.Action == request.Run {
-		f = &flight{done: make(chan struct{})}
-		g.flights[c.key.Sequence] = f
+		e = &execution{done: make(chan struct{})}
+		g.executions[c.key.Sequence] = e
 	}
-	return d, f, "", nil
+	return d, e, "", nil
 }
 
-// finish ends a flight and stores its result.
-func (g *Gateway) finish(sequence uint64, f *flight, result request.Result) {
+// finish stores the result of an execution and wakes the requests that wait for it.
+func (g *Gateway) finish(sequence uint64, e *execution, result request.Result) {
 	g.keysMu.Lock()
 	g.keys.Finish(sequence, result)
-	delete(g.flights, sequence)
+	delete(g.executions, sequence)
 	g.keysMu.Unlock()
-	f.result = result
-	close(f.done)
+	e.result = result
+	close(e.done)
 }
 
-// storable returns the result that repeats of the request get. A body that is passed on while it arrives is not kept.
-func storable(a answer) request.Result {
-	if a.stream == nil {
-		return a.Result
+// storable returns the result for repeats of the request. A streamed body is not stored, so repeats get an unknown
+// outcome.
+func storable(resp callerResponse) request.Result {
+	if resp.stream == nil {
+		return resp.Result
 	}
 	return request.Result{Outcome: request.Unknown, Err: errkind.New(errkind.Unknown,
 		"ask the service whether the request ran", "the response was too large to be stored")}
 }
 
-// join waits for the result of the same request.
-func join(ctx context.Context, c *call, f *flight) answer {
+// awaitExecution waits for the result of a running request with the same key.
+func awaitExecution(ctx context.Context, c *callerRequest, e *execution) callerResponse {
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
 	select {
-	case <-f.done:
-		return answer{Result: f.result}
+	case <-e.done:
+		return callerResponse{Result: e.result}
 	case <-ctx.Done():
-		return refusal(request.Unknown, errkind.New(errkind.DeadlineExceeded,
-			"send the same request with the same key again", "the request is still running"))
+		return errorResponse(request.Unknown, errkind.New(errkind.DeadlineExceeded,
+			"send the same request with the same key again", "deadline passed while the request was still running"))
 	}
 }
 
-// refuseNew answers a request that arrives after the gateway stopped accepting. A key that did not run before never
-// will.
-func (g *Gateway) refuseNew(c *call) answer {
+// rejectNew responds to a request that arrives after the gateway stopped accepting requests. A key that has not run is
+// marked as used, so that it never runs.
+func (g *Gateway) rejectNew(c *callerRequest) callerResponse {
 	if c.keyText == "" {
-		return refusal(request.NotRun, errShuttingDown())
+		return errorResponse(request.NotRun, errShuttingDown())
 	}
 	if c.key.Owner != g.owner {
-		return refusal(request.Unknown, errShuttingDown())
+		return errorResponse(request.Unknown, errShuttingDown())
 	}
-	d, f, outcome, err := g.begin(c)
+	d, e, outcome, err := g.begin(c)
 	switch {
 	case err != nil:
-		return refusal(outcome, err)
+		return errorResponse(outcome, err)
 	case d.Action == request.Replay:
-		return answer{Result: d.Result}
+		return callerResponse{Result: d.Result}
 	case d.Action == request.Join:
-		return refusal(request.Unknown, errShuttingDown())
+		return errorResponse(request.Unknown, errShuttingDown())
 	}
 	result := request.Result{Outcome: request.NotRun, Err: errShuttingDown()}
-	g.finish(c.key.Sequence, f, result)
-	return answer{Result: result}
+	g.finish(c.key.Sequence, e, result)
+	return callerResponse{Result: result}
 }
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -9,45 +9,46 @@
 	"github.com/redwingthread/redwingthread/invariant"
 )
 
-// phase is a step of a gateway's life.
+// phase is a phase of a gateway's life cycle. Phases only advance.
 type phase int
 
 const (
-	// serving gateways accept requests and are ready.
+	// serving gateways accept requests and report ready.
 	serving phase = iota
-	// unready gateways accept requests that the balancer still sends.
+	// unready gateways report not ready, but accept the requests that the load balancer still sends.
 	unready
-	// refusing gateways finish accepted requests and accept no new ones.
-	refusing
+	// rejecting gateways finish accepted requests and reject new ones.
+	rejecting
 )
 
-// lifecycle counts the accepted requests and guards the order of a shutdown.
+// lifecycle holds the phase of the gateway and counts the accepted requests.
 type lifecycle struct {
 	mu sync.Mutex
 	// phase is guarded by mu.
 	phase phase
-	// active counts accepted requests that have not been answered; guarded by mu.
+	// active counts accepted requests without a response; guarded by mu.
 	active int
-	// idle is closed when the phase is refusing and active is 0.
+	// idle is closed when the phase is rejecting and active is 0.
 	idle     chan struct{}
 	idleOnce sync.Once
 }
 
-// init makes the zero value ready for use.
+// init prepares the zero value for use.
 func (l *lifecycle) init() { l.idle = make(chan struct{}) }
 
-// enter accepts a request unless the gateway refuses new ones. An accepted request must call leave.
+// enter counts a request as accepted, unless the gateway rejects new ones. The caller must call leave if it returns
+// true.
 func (l *lifecycle) enter() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.phase == refusing {
+	if l.phase == rejecting {
 		return false
 	}
 	l.active++
 	return true
 }
 
-// leave counts a request as answered.
+// leave counts an accepted request as finished.
 func (l *lifecycle) leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,14 +56,14 @@
 	l.closeIfIdle()
 }
 
-// closeIfIdle reports that the last accepted request was answered. The caller holds mu.
+// closeIfIdle closes idle if the gateway rejects new requests and has finished all accepted ones. The caller holds mu.
 func (l *lifecycle) closeIfIdle() {
-	if l.phase == refusing && l.active == 0 {
+	if l.phase == rejecting && l.active == 0 {
 		l.idleOnce.Do(func() { close(l.idle) })
 	}
 }
 
-// advance moves to a later phase.
+// advance moves to a later phase. It never moves back.
 func (l *lifecycle) advance(to phase) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,7 +78,7 @@
 	return l.phase, l.active
 }
 
-// Ready reports whether the balancer should send requests here, and why not.
+// Ready reports whether the load balancer should send requests to this gateway. If not, reason says why.
 func (g *Gateway) Ready() (ok bool, reason string) {
 	g.refresh()
 	if at, _ := g.lifecycle.state(); at != serving {
@@ -95,38 +96,39 @@
 	return true, ""
 }
 
-// Shutdown stops the gateway without cutting off a request: it turns unready, goes on accepting for the balancer's
-// reaction time, answers what it accepted, and closes. It returns an error if ctx ends before that.
+// Shutdown stops the gateway gracefully: it turns unready, accepts requests for Options.ReactionTime more, finishes the
+// accepted requests, and closes all connections. It returns a DeadlineExceeded error if ctx ends before that.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	g.lifecycle.advance(unready)
-	g.options.Log.Info().Str("failure_domain", g.owner.FailureDomain).Msg("turned unready for shutdown")
+	g.options.Log.Info().Str("failure_domain", g.owner.FailureDomain).Msg("shutdown started, gateway is unready")
 	select {
 	case <-time.After(g.options.ReactionTime):
 	case <-ctx.Done():
 	}
-	g.lifecycle.advance(refusing)
-	if !g.unsafe.cut {
+	g.lifecycle.advance(rejecting)
+	if !g.unsafe.skipDrain {
 		select {
 		case <-g.lifecycle.idle:
 		case <-ctx.Done():
 		}
 	}
 	_, active := g.lifecycle.state()
-	whole := invariant.Check(active == 0, invariant.ShutdownCutsNothing,
-		"%d accepted requests are unanswered at the end of a shutdown", active)
+	drained := invariant.Check(active == 0, invariant.ShutdownCutsNothing,
+		"%d accepted requests have no response at the end of a shutdown", active)
 	err := g.server.Shutdown(ctx)
 	g.pools.Close()
-	if !whole {
+	if !drained {
 		return errkind.New(errkind.DeadlineExceeded, "allow the shutdown more time",
-			"shutdown cut off %d requests", active)
+			"shutdown aborted %d requests", active)
 	}
 	if err != nil {
-		return errkind.Wrap(err, errkind.DeadlineExceeded, "allow the shutdown more time", "close of caller connections")
+		return errkind.Wrap(err, errkind.DeadlineExceeded, "allow the shutdown more time",
+			"caller connections could not be closed in time")
 	}
 	return nil
 }
 
-// errShuttingDown is the refusal of a gateway that stops.
+// errShuttingDown returns the error of a gateway that is shutting down.
 func errShuttingDown() error {
 	return errkind.New(errkind.ShuttingDown, "send the request to another gateway", "gateway is shutting down")
 }
--- a/gateway/memnet_test.go
+++ b/gateway/memnet_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// memNet is an in-memory network with delay, partitions, frozen hosts, killed hosts and silent connections. It uses only
-// timers and channels, so that it runs in virtual time.
+// memNet is an in-memory network with delay, partitions, frozen hosts, killed hosts and silent connections. It uses
+// only timers and channels, so it works in virtual time.
 type memNet struct {
 	mu        sync.Mutex
 	delay     time.Duration
 	listeners map[string]*memListener
-	// cut holds host pairs that cannot reach each other, frozen and dead hosts; guarded by mu.
+	// cut holds the host pairs that cannot reach each other; guarded by mu, as are the maps below.
 	cut    map[[2]string]bool
 	frozen map[string]bool
 	dead   map[string]bool
 	conns  map[*memConn]bool
-	// changed is closed and replaced at each change of the faults.
+	// changed is closed and replaced whenever the faults change; guarded by mu.
 	changed chan struct{}
 }
 
@@ -47,7 +47,7 @@
 
 func (n *memNet) setFrozen(host string, frozen bool) { n.change(func() { n.frozen[host] = frozen }) }
 
-// kill closes all connections of the host and lets it open no more.
+// kill closes all connections of the host and refuses new ones.
 func (n *memNet) kill(host string) {
 	var closing []*memConn
 	n.change(func() {
@@ -63,30 +63,31 @@
 	}
 }
 
-// revive lets a killed host be reached again.
+// revive makes a killed host reachable again.
 func (n *memNet) revive(host string) { n.change(func() { n.dead[host] = false }) }
 
-// silence makes all present connections of a host deliver nothing more, without closing them.
-func (n *memNet) silence(host string, share func() bool) {
+// silence makes existing connections to a host stop delivering data without closing them. It calls selected once for
+// each connection, which returns whether the connection is silenced.
+func (n *memNet) silence(host string, selected func() bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
-		if c.remote == host && share() {
+		if c.remote == host && selected() {
 			c.in.setSilent()
 			c.out.setSilent()
 		}
 	}
 }
 
-// blocked reports whether traffic from a to b is held back now, and returns the channel closed at the next change.
+// blocked reports whether traffic from a to b is held back now. The returned channel is closed when the faults change.
 func (n *memNet) blocked(a, b string) (bool, chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cut[[2]string{a, b}] || n.frozen[a] || n.frozen[b], n.changed
 }
 
-// cross waits until a message has passed from one host to another.
-func (n *memNet) cross(ctx context.Context, from, to string) error {
+// deliver waits until a message from one host has reached another.
+func (n *memNet) deliver(ctx context.Context, from, to string) error {
 	for {
 		held, changed := n.blocked(from, to)
 		if !held {
@@ -103,9 +104,9 @@
 
 var errRefused = errors.New("connection refused")
 
-// dial opens a connection from a host to an address, whose host part is the address itself.
+// dial opens a connection from a host to an address. An address is the name of the host.
 func (n *memNet) dial(ctx context.Context, from, address string) (net.Conn, error) {
-	if err := n.cross(ctx, from, address); err != nil {
+	if err := n.deliver(ctx, from, address); err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
@@ -171,7 +172,7 @@
 
 func (l *memListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// memChunk is data under way.
+// memChunk is data in transit that arrives at the time at.
 type memChunk struct {
 	at   time.Time
 	data []byte
@@ -218,8 +219,9 @@
 	closed        bool
 }
 
-// take returns data that has arrived, or what to wait for.
-func (p *memPipe) take(b []byte) (n int, wait time.Duration, wake chan struct{}, err error) {
+// readArrived copies data that has arrived to b. If there is none, it returns how long to wait for more, and a channel
+// that is closed when the pipe changes.
+func (p *memPipe) readArrived(b []byte) (n int, wait time.Duration, wake chan struct{}, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.silent {
@@ -266,7 +268,7 @@
 		if !held {
 			var n int
 			var err error
-			n, wait, wake, err = c.in.take(b)
+			n, wait, wake, err = c.in.readArrived(b)
 			if n > 0 || err != nil {
 				return n, err
 			}
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -9,34 +9,35 @@
 	"time"
 )
 
-// capacity of the fixture in TestOverload: 2 endpoints with 4 slots at 50 ms are 160 requests per second.
+// The capacity of the fixture in TestOverload, with 2 local endpoints of 4 slots at 50 ms, is 160 requests per second.
 const (
 	overloadSlots   = 4
 	overloadService = 50 * time.Millisecond
 	overloadRate    = 160
 )
 
-// offered is what became of the requests of one account.
-type offered struct {
+// loadResult counts the results of the requests of one account.
+type loadResult struct {
 	mu   sync.Mutex
 	good int
-	// took holds the times of completed requests.
-	took []time.Duration
-	lost int
+	// latencies holds the latencies of completed requests.
+	latencies []time.Duration
+	lost      int
 }
 
-// p99 returns the time within which 99 of 100 requests were completed.
-func (o *offered) p99() time.Duration {
-	if len(o.took) == 0 {
+// p99 returns the 99th percentile of the latency of completed requests, an hour if there are none.
+func (o *loadResult) p99() time.Duration {
+	if len(o.latencies) == 0 {
 		return time.Hour
 	}
-	slices.Sort(o.took)
-	return o.took[len(o.took)*99/100]
+	slices.Sort(o.latencies)
+	return o.latencies[len(o.latencies)*99/100]
 }
 
-// offer sends requests of an account at a rate per second for a time, without waiting for their responses.
-func offer(gateways []*node, account string, rate int, span, deadline time.Duration, all *sync.WaitGroup) *offered {
-	o := &offered{}
+// offerLoad sends requests of an account at a mean rate per second for the given span, as an open loop: it does not
+// wait for the responses.
+func offerLoad(gateways []*node, account string, rate int, span, deadline time.Duration, all *sync.WaitGroup) *loadResult {
+	o := &loadResult{}
 	r := rand.New(rand.NewPCG(uint64(rate), 5))
 	all.Go(func() {
 		for end := time.Now().Add(span); time.Now().Before(end); {
@@ -44,12 +45,12 @@
 			g := gateways[r.IntN(len(gateways))]
 			all.Go(func() {
 				start := time.Now()
-				answer := g.send(sending{account: account, method: "POST", body: "x", timeout: deadline})
+				response := g.send(testRequest{account: account, method: "POST", body: "x", timeout: deadline})
 				o.mu.Lock()
 				defer o.mu.Unlock()
-				if answer.outcome == "completed" && time.Since(start) <= deadline {
+				if response.outcome == "completed" && time.Since(start) <= deadline {
 					o.good++
-					o.took = append(o.took, time.Since(start))
+					o.latencies = append(o.latencies, time.Since(start))
 				} else {
 					o.lost++
 				}
@@ -59,8 +60,8 @@
 	return o
 }
 
-// TestOverload guards against goodput that collapses when one account floods at 3 times the capacity, against
-// well-behaved accounts that miss their deadline then, and against a gateway that does not recover by itself.
+// TestOverload guards against goodput that collapses when one account sends 3 times the capacity, against other
+// accounts that miss their deadlines meanwhile, and against a gateway that does not recover by itself.
 func TestOverload(t *testing.T) {
 	const span = 10 * time.Second
 	const deadline = 500 * time.Millisecond
@@ -79,7 +80,7 @@
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, 6, overloadSlots, func(t *testing.T, f *fixture) {
 				for _, e := range f.endpoints {
-					e.takes = func() time.Duration { return overloadService }
+					e.serviceTime = func() time.Duration { return overloadService }
 					e.reportsArrival = c.reportsArrival
 				}
 				f.unsafe = func(n *node) {
@@ -92,24 +93,24 @@
 					g = append(g, f.start(fmt.Sprintf("vm-%d", i), "i", "fd-0", nil))
 				}
 				var all sync.WaitGroup
-				full := offer(g, "orders", overloadRate, span, deadline, &all)
+				full := offerLoad(g, "orders", overloadRate, span, deadline, &all)
 				all.Wait()
-				flood := offer(g, "flood", 3*overloadRate, span, deadline, &all)
-				modest := offer(g, "blades", overloadRate/4, span, deadline, &all)
+				flood := offerLoad(g, "flood", 3*overloadRate, span, deadline, &all)
+				modest := offerLoad(g, "blades", overloadRate/4, span, deadline, &all)
 				all.Wait()
 				time.Sleep(time.Second)
-				after := offer(g, "orders", overloadRate*8/10, span, deadline, &all)
+				after := offerLoad(g, "orders", overloadRate*8/10, span, deadline, &all)
 				all.Wait()
 				ratio := float64(flood.good+modest.good) / float64(full.good)
 				t.Logf("goodput at capacity %d, at 3 times %d (ratio %.2f), modest account lost %d of %d with p99 %s, after %d lost of %d",
 					full.good, flood.good+modest.good, ratio, modest.lost, modest.good+modest.lost, modest.p99(), after.lost,
 					after.good+after.lost)
-				kept := ratio >= 0.9 && modest.p99() < deadline && modest.lost*100 <= modest.good
+				contained := ratio >= 0.9 && modest.p99() < deadline && modest.lost*100 <= modest.good
 				recovered := after.lost*100 <= after.good
-				if !unsafe && (!kept || !recovered) {
+				if !unsafe && (!contained || !recovered) {
 					t.Error("overload is not contained")
 				}
-				if unsafe && kept {
+				if unsafe && contained {
 					t.Error("overload is contained without the rules; the check shows nothing")
 				}
 			})
--- a/gateway/prove_test.go
+++ b/gateway/prove_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// TestProve runs scenarios for a bounded real time and prints the number of violations as its last line.
+// TestProve runs scenarios for 8 s of real time and prints the number of violations as its last line. The seeds follow
+// from PROVE_SEED.
 func TestProve(t *testing.T) {
 	text := os.Getenv("PROVE_SEED")
 	seed, err := strconv.ParseUint(text, 10, 64)
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -10,23 +10,26 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// ListenerLimits bounds what callers can occupy. Zero values stand for the defaults.
+// ListenerLimits limits the resources that callers can occupy. Zero values select the defaults.
 type ListenerLimits struct {
-	// Connections bounds the open caller connections.
+	// Connections is the maximum number of open caller connections.
 	Connections int
+	// HeaderBytes is the maximum size of a request header.
 	HeaderBytes int
-	// BodyBytes bounds the bodies of all requests that are being served together.
-	BodyBytes  int64
+	// BodyBytes is the maximum total size of the bodies of all requests being served.
+	BodyBytes int64
+	// HeaderTime is the maximum time to receive a request header.
 	HeaderTime time.Duration
-	// BodyTime bounds the time to receive a request body.
+	// BodyTime is the maximum time to receive a request body.
 	BodyTime time.Duration
-	// WriteTime bounds the time to send a response.
+	// WriteTime is the maximum time to send a response.
 	WriteTime time.Duration
-	IdleTime  time.Duration
+	// IdleTime is the time after which an idle caller connection is closed.
+	IdleTime time.Duration
 }
 
-// fill puts the defaults in place of zero values.
-func (l *ListenerLimits) fill() {
+// setDefaults replaces zero values by the defaults.
+func (l *ListenerLimits) setDefaults() {
 	if l.Connections == 0 {
 		l.Connections = 4096
 	}
@@ -60,7 +63,7 @@
 	}
 }
 
-// Serve accepts callers on l until Shutdown. It returns nil after a shutdown.
+// Serve serves callers on l until Shutdown and then returns nil. It returns an Unavailable error if the listener fails.
 func (g *Gateway) Serve(l net.Listener) error {
 	err := g.server.Serve(netutil.LimitListener(l, g.options.Listener.Connections))
 	if err == http.ErrServerClosed {
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -20,8 +20,8 @@
 	"github.com/redwingthread/redwingthread/inner"
 )
 
-// serveLoopback starts a gateway and an endpoint on loopback.
-func serveLoopback(t testing.TB, limits ListenerLimits, answer http.HandlerFunc) (g *Gateway, url string) {
+// serveLoopback starts a gateway and an endpoint with the given handler on loopback.
+func serveLoopback(t testing.TB, limits ListenerLimits, handler http.HandlerFunc) (g *Gateway, url string) {
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -30,7 +30,7 @@
 		return l
 	}
 	target, front := listen(), listen()
-	server := &http.Server{Handler: answer}
+	server := &http.Server{Handler: handler}
 	go server.Serve(target)
 	t.Cleanup(func() { server.Close() })
 	doc := &config.Document{
@@ -56,7 +56,7 @@
 	return g, "http://" + front.Addr().String()
 }
 
-// respondWith writes a response that keeps the contract, with a body of which only a part may be sent.
+// respondWith writes a response that keeps the endpoint contract. Only the first sent bytes of the body are written.
 func respondWith(w http.ResponseWriter, r *http.Request, body string, sent int) {
 	h := w.Header()
 	h.Set(endpoint.HeaderRequestID, r.Header.Get(endpoint.HeaderRequestID))
@@ -65,8 +65,8 @@
 	io.WriteString(w, body[:sent])
 }
 
-// call sends a request over HTTP.
-func callHTTP(method, url, body string) (*http.Response, error) {
+// sendHTTP sends a request to the gateway over HTTP.
+func sendHTTP(method, url, body string) (*http.Response, error) {
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -75,14 +75,15 @@
 	return http.DefaultClient.Do(r)
 }
 
-// TestLargeResponse guards against a truncated large response that a caller takes for the whole.
+// TestLargeResponse guards against a caller that takes a truncated streamed response for a complete one, and against
+// slots that stay in use after a streamed response.
 func TestLargeResponse(t *testing.T) {
 	body := strings.Repeat("z", 300_000)
 	for name, sent := range map[string]int{"whole": len(body), "cut off": len(body) - 1} {
 		g, url := serveLoopback(t, ListenerLimits{}, func(w http.ResponseWriter, r *http.Request) {
 			respondWith(w, r, body, sent)
 		})
-		response, err := callHTTP("GET", url+"/v1/services/scan/x", "")
+		response, err := sendHTTP("GET", url+"/v1/services/scan/x", "")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,7 +104,8 @@
 	}
 }
 
-// TestListenerLimits guards against callers that occupy the gateway with headers, bodies or connections.
+// TestListenerLimits guards against callers that exhaust the gateway with slow or large headers and bodies, or with
+// connections.
 func TestListenerLimits(t *testing.T) {
 	limits := ListenerLimits{Connections: 2, HeaderBytes: 4096, BodyBytes: 500, HeaderTime: 200 * time.Millisecond, BodyTime: 200 * time.Millisecond}
 	_, url := serveLoopback(t, limits, func(w http.ResponseWriter, r *http.Request) { respondWith(w, r, "x", 1) })
@@ -157,7 +159,7 @@
 	}
 }
 
-// TestShutdownOverTCP guards against responses cut off on their way to callers when the listener closes.
+// TestShutdownOverTCP guards against responses that are truncated on the way to callers when the listener closes.
 func TestShutdownOverTCP(t *testing.T) {
 	g, url := serveLoopback(t, ListenerLimits{}, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(400 * time.Millisecond)
@@ -166,7 +168,7 @@
 	outcomes := make(chan string, 8)
 	for range cap(outcomes) {
 		go func() {
-			response, err := callHTTP("POST", url+"/v1/services/scan/x", "b")
+			response, err := sendHTTP("POST", url+"/v1/services/scan/x", "b")
 			if err != nil {
 				outcomes <- err.Error()
 				return
@@ -190,12 +192,13 @@
 			t.Errorf("caller got %q", got)
 		}
 	}
-	if _, err := callHTTP("GET", url+"/readyz", ""); err == nil {
+	if _, err := sendHTTP("GET", url+"/readyz", ""); err == nil {
 		t.Error("listener is open after the shutdown")
 	}
 }
 
-// TestTrace guards against a trace that breaks off at the gateway, at a forward or at the endpoint.
+// TestTrace guards against a trace context that is lost at the gateway, when a request is forwarded, or at the
+// endpoint.
 func TestTrace(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	previous := otel.GetTracerProvider()
@@ -205,14 +208,14 @@
 	inBubble(t, 3, 8, func(t *testing.T, f *fixture) {
 		seen := ""
 		for _, e := range f.endpoints {
-			e.next = func(r *http.Request) fault {
+			e.nextFault = func(r *http.Request) fault {
 				seen = r.Header.Get("Traceparent")
 				return healthy
 			}
 		}
 		a := f.start("vm-0", "i-0", "fd-0", nil)
 		b := f.start("vm-1", "i-1", "fd-1", nil)
-		b.send(sending{account: "orders", method: "POST", key: a.newKey("orders"),
+		b.send(testRequest{account: "orders", method: "POST", key: a.newKey("orders"),
 			header: http.Header{"Traceparent": {"00-" + id + "-b7ad6b7169203331-01"}}})
 		if !strings.Contains(seen, id) {
 			t.Errorf("endpoint got traceparent %q", seen)
--- a/gateway/snapshot.go
+++ b/gateway/snapshot.go
@@ -12,13 +12,13 @@
 	"github.com/redwingthread/redwingthread/routing"
 )
 
-// snapshot is a configuration with the account of each token digest.
+// snapshot is a configuration document with an index of its accounts by token digest.
 type snapshot struct {
 	doc      *config.Document
 	accounts map[string]config.Account
 }
 
-// newSnapshot indexes a document.
+// newSnapshot returns a snapshot of the document.
 func newSnapshot(doc *config.Document) *snapshot {
 	s := &snapshot{doc: doc, accounts: make(map[string]config.Account, len(doc.Accounts))}
 	for name, account := range doc.Accounts {
@@ -28,19 +28,19 @@
 	return s
 }
 
-// current returns the configuration in force, nil while there is none. It takes over a new document first.
+// current returns the configuration in force, nil while there is none. It applies a new document first.
 func (g *Gateway) current() *snapshot {
 	doc := g.options.Config()
 	s := g.snapshot.Load()
 	if doc == nil || s != nil && s.doc == doc {
 		return s
 	}
-	return g.takeOver()
+	return g.applyConfig()
 }
 
-// takeOver puts the document in force into use. The document is read again under the lock, so that a caller that read an
-// older one cannot put it in place of a newer one.
-func (g *Gateway) takeOver() *snapshot {
+// applyConfig applies the document in force. It reads the document again under the lock, so that a goroutine that read
+// an older document cannot replace a newer one.
+func (g *Gateway) applyConfig() *snapshot {
 	g.configMu.Lock()
 	defer g.configMu.Unlock()
 	doc := g.options.Config()
@@ -53,7 +53,7 @@
 	return s
 }
 
-// refresh takes over a new configuration and takes a seat if there is one.
+// refresh applies a new configuration and takes a seat if one is free.
 func (g *Gateway) refresh() {
 	s := g.current()
 	if s == nil || g.seated.Load() {
@@ -100,7 +100,7 @@
 	digest := sha256.Sum256([]byte(strings.TrimSpace(token)))
 	account, ok := s.accounts[hex.EncodeToString(digest[:])]
 	if !ok {
-		return config.Account{}, errkind.New(errkind.Unauthenticated, tokenRemedy, "token belongs to no account")
+		return config.Account{}, errkind.New(errkind.Unauthenticated, tokenRemedy, "token does not match any account")
 	}
 	return account, nil
 }
--- a/gateway/telemetry.go
+++ b/gateway/telemetry.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// answered counts an answer.
-func (m *meters) answered(outcome request.Outcome, took time.Duration) {
+// countResponse counts the response to a request and records the latency of a completed one.
+func (m *meters) countResponse(outcome request.Outcome, took time.Duration) {
 	switch outcome {
 	case request.Completed:
 		m.completed.Inc(1)
@@ -68,7 +68,7 @@
 	}
 }
 
-// observe sets the gauges.
+// observe updates the gauges.
 func (m *meters) observe(g *Gateway) {
 	_, active := g.lifecycle.state()
 	m.active.Update(int64(active))
@@ -93,7 +93,7 @@
 	m.leaving.Update(leaving)
 }
 
-// queued returns the number of waiting requests of all services.
+// queued returns the number of queued requests of all services.
 func (d *dispatcher) queued() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,29 +104,29 @@
 	return n
 }
 
-// logCall writes the log line of a caller's request. Keys and tokens are never logged.
-func (g *Gateway) logCall(ctx context.Context, c *call, a answer, took time.Duration) {
-	g.line(ctx, c, a, took).Msg("request answered")
+// logRequest logs a caller's request. Keys and tokens are never logged.
+func (g *Gateway) logRequest(ctx context.Context, c *callerRequest, resp callerResponse, took time.Duration) {
+	g.requestEvent(ctx, c, resp, took).Msg("request answered")
 }
 
-// logForwarded writes the log line of a forwarded request.
-func (g *Gateway) logForwarded(ctx context.Context, c *call, from inner.Member, a answer, took time.Duration) {
-	g.line(ctx, c, a, took).Str("from", from.VM).Msg("forwarded request answered")
+// logForwarded logs a forwarded request.
+func (g *Gateway) logForwarded(ctx context.Context, c *callerRequest, from inner.Member, resp callerResponse, took time.Duration) {
+	g.requestEvent(ctx, c, resp, took).Str("from", from.VM).Msg("forwarded request answered")
 }
 
-// line returns a log line with the ids of a request.
-func (g *Gateway) line(ctx context.Context, c *call, a answer, took time.Duration) *zerolog.Event {
+// requestEvent returns a log event with the ids and the outcome of a request, nil if logging is disabled.
+func (g *Gateway) requestEvent(ctx context.Context, c *callerRequest, resp callerResponse, took time.Duration) *zerolog.Event {
 	event := g.options.Log.Info()
 	if event == nil {
 		return nil
 	}
 	event = event.Str("request", c.id).Str("account", c.account.Name).Str("failure_domain", g.owner.FailureDomain).
-		Str("service", c.service).Str("outcome", string(a.Outcome)).Dur("took_ms", took)
+		Str("service", c.service).Str("outcome", string(resp.Outcome)).Dur("took_ms", took)
 	if span := trace.SpanContextFromContext(ctx); span.HasTraceID() {
 		event = event.Str("trace", span.TraceID().String())
 	}
-	if a.Err != nil {
-		typed := errkind.As(a.Err)
+	if resp.Err != nil {
+		typed := errkind.As(resp.Err)
 		event = event.Str("kind", string(typed.Kind)).Str("error", typed.Error())
 	}
 	return event
