--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -191,7 +191,7 @@
 	case r.Failure != endpoint.NoFailure:
 		out.Kind = routing.Failed
 	case r.NotRun:
-		out.Kind = routing.Refused
+		out.Kind = routing.Rejected
 	case r.Response.Status >= http.StatusInternalServerError:
 		out.Kind = routing.ServerError
 	}
--- a/gateway/failure_test.go
+++ b/gateway/failure_test.go
@@ -211,7 +211,7 @@
 			faults = append(faults, fmt.Sprintf("requests after the silence was noticed took up to %s", took))
 		}
 		for _, e := range g.EndpointStatus() {
-			if e.Ejected || e.Gone {
+			if e.Ejected || e.Unreachable {
 				faults = append(faults, fmt.Sprintf("endpoint %s is out of use because of silent connections", e.Endpoint))
 			}
 		}
@@ -221,7 +221,7 @@
 	})
 }
 
-// TestLeaving guards against requests to a leaving endpoint more than 3 s after the first notice from any source, and
+// TestLeaving guards against requests to a leaving endpoint more than 3 s after the first sign from any source, and
 // against a new incarnation of the endpoint that never gets requests.
 func TestLeaving(t *testing.T) {
 	signs := map[string]func(f *fixture, g *node){
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -191,7 +191,7 @@
 	}
 	for _, p := range g.dispatcher.dueProbes() {
 		go func() {
-			r := g.pools.Probe(ctx, p.Address, p.MaxConnections, p.Ask)
+			r := g.pools.Probe(ctx, p.Address, p.MaxConnections, p.QueryIncarnation)
 			g.dispatcher.applyProbe(p, routing.ProbeResult(r))
 		}()
 	}
--- a/gateway/telemetry.go
+++ b/gateway/telemetry.go
@@ -82,7 +82,7 @@
 	m.queued.Update(int64(g.dispatcher.queued()))
 	var ejected, leaving int64
 	for _, e := range g.EndpointStatus() {
-		if e.Ejected || e.Gone {
+		if e.Ejected || e.Unreachable {
 			ejected++
 		}
 		if e.Leaving {
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -8,7 +8,8 @@
 	"github.com/redwingthread/redwingthread/routing"
 )
 
-// Each choice is given back with what came of its exchange. An endpoint that says it is leaving gets no more work.
+// Done returns each choice with the result of its exchange. An endpoint that reports that it is leaving gets no more
+// requests.
 func ExampleTable() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	table := routing.NewTable("fd-a", 1)
--- a/routing/health.go
+++ b/routing/health.go
@@ -5,103 +5,106 @@
 	"time"
 )
 
-// healthState says whether an endpoint gets requests.
+// healthState is the health of an endpoint. Only usable endpoints get requests, except for probes.
 type healthState int
 
 const (
 	usable healthState = iota
-	// unreachable endpoints refuse connections. They are probed by connection alone, so this state needs no bound.
+	// unreachable endpoints refuse connections. They are probed by opening a connection, which does no work, so the
+	// number of unreachable endpoints is not limited.
 	unreachable
-	// ejected endpoints accept connections but fail, are slow, or come and go. Their share is bounded.
+	// ejected endpoints accept connections but fail, are slow or flap. Their share of a service is limited.
 	ejected
 )
 
 // Rules of ejection.
 const (
-	// unreachableAfter is the number of failed connections in a row after which an endpoint is unreachable. A single
-	// one may be a full accept queue.
+	// unreachableAfter is the number of consecutive failed connection attempts after which an endpoint is unreachable.
+	// A single one may be due to a full accept queue.
 	unreachableAfter = 2
-	// failuresInRow is the number of failed exchanges in a row that eject an endpoint.
+	// failuresInRow is the number of consecutive failed exchanges that ejects an endpoint.
 	failuresInRow = 5
-	// failureShare is the share of failed exchanges that ejects an endpoint, unless the service as a whole fails.
+	// failureShare is the share of failed exchanges that ejects an endpoint, unless most endpoints of the service fail.
 	failureShare = 0.5
-	// slowFactor is the multiple of the service's median exchange time above which an endpoint is slow.
+	// slowFactor is the multiple of the service's median exchange time above which an endpoint counts as slow.
 	slowFactor = 5
-	// slowFloor keeps small absolute differences from counting as slow.
+	// slowFloor is the exchange time up to which an endpoint never counts as slow.
 	slowFloor = 20 * time.Millisecond
-	// minSamples is the number of exchanges before shares and times are judged.
+	// minSamples is the minimum number of exchanges before failure shares and exchange times are compared.
 	minSamples = 20
-	// flapWindow and flapCount define flapping: that many turns to unreachable within the window.
+	// An endpoint that becomes unreachable flapCount times within flapWindow is flapping.
 	flapWindow = time.Minute
 	flapCount  = 3
-	// ejectBase and ejectMax bound the time of an ejection, which doubles with each one in a row.
+	// ejectBase is the duration of a first ejection. The duration doubles with each further one, up to ejectMax.
 	ejectBase = time.Second
 	ejectMax  = 30 * time.Second
-	// probeBase and probeMax bound the time between connection probes of an unreachable endpoint.
+	// probeBase is the first interval between connection probes of an unreachable endpoint. The interval doubles with
+	// each probe, up to probeMax.
 	probeBase = 100 * time.Millisecond
 	probeMax  = time.Second
-	// calmAfter is the time without trouble after which earlier ejections no longer count.
-	calmAfter = 2 * time.Minute
-	// sampleWeight is the share of a new sample in the averages.
+	// ejectionMemory is the time without an ejection after which earlier ejections no longer count.
+	ejectionMemory = 2 * time.Minute
+	// sampleWeight is the weight of a new sample in the moving averages.
 	sampleWeight = 0.1
 )
 
-// health is the record of an endpoint's failures and exchange times.
+// health holds the health state of an endpoint and the failures and exchange times that determine it.
 type health struct {
 	state healthState
-	// until is the end of the ejection, or the time of the next connection probe.
+	// until is the end of an ejection, or the time of the next connection probe of an unreachable endpoint.
 	until time.Time
-	// probing is true while one probe is under way.
-	probing      bool
-	refusals     int
-	failures     int
-	samples      int
-	failureShare float64
-	// took is the average time of an exchange.
-	took      time.Duration
-	ejections int
-	// trouble is the time of the last ejection.
-	trouble time.Time
-	// turns holds the times of recent turns to unreachable.
-	turns []time.Time
+	// probing is true while a probe is in progress.
+	probing             bool
+	connectFailures     int
+	consecutiveFailures int
+	samples             int
+	failureShare        float64
+	// exchangeTime is the moving average of the duration of an exchange.
+	exchangeTime time.Duration
+	ejections    int
+	lastEjection time.Time
+	// outages holds the times at which the endpoint recently became unreachable.
+	outages []time.Time
 	// backoff is the time between connection probes.
 	backoff time.Duration
 }
 
-// ResultKind says how an exchange ended.
+// ResultKind is the kind of result of an exchange.
 type ResultKind int
 
 // The result kinds.
 const (
-	// Answered marks a whole response, whatever its status.
+	// Answered marks a complete response other than those of ServerError and Rejected.
 	Answered ResultKind = iota
-	// ServerError marks a whole response with a status from 500 on, the statement not_run excluded.
+	// ServerError marks a complete response with a status of 500 or above that does not state not_run.
 	ServerError
-	// Refused marks a whole response with the statement not_run.
-	Refused
-	// NoConnection marks a connection that could not be opened.
+	// Rejected marks a complete response that states not_run: the endpoint rejected the request without running it.
+	Rejected
+	// NoConnection marks an exchange for which no connection could be opened.
 	NoConnection
 	// Failed marks an exchange on a new connection without a valid response.
 	Failed
-	// FailedReused marks an exchange on a reused connection without a valid response. The connection may have gone
-	// silent while the endpoint works, so this alone does not count against the endpoint.
+	// FailedReused marks an exchange on a reused connection without a valid response. It does not count as a failure of
+	// the endpoint, since the connection may be dead while the endpoint works.
 	FailedReused
-	// Abandoned marks an exchange that was given up for reasons of the caller.
+	// Abandoned marks an exchange that the caller gave up. It says nothing about the endpoint.
 	Abandoned
 )
 
-// Report is what came of an exchange. Set every field: the zero Kind is Answered and the zero Inflight a reported load.
+// Report is the result of an exchange. Every field must be set: the zero Kind is Answered, and the zero Inflight is a
+// reported load of 0.
 type Report struct {
 	Kind ResultKind
 	Took time.Duration
-	// Inflight is the load that the endpoint reported; -1 if it did not.
+	// Inflight is the number of exchanges that the endpoint reported, -1 if it reported none.
 	Inflight int
-	// Incarnation and Leaving are from the response's headers; Incarnation is empty without a response.
+	// Incarnation and Leaving are from the header of the response. Incarnation is empty without a response.
 	Incarnation string
 	Leaving     bool
 }
 
-// Done gives a choice back and takes in what came of the exchange.
+// Done returns the slot of a choice and records the result of its exchange. It does nothing if the endpoint is no
+// longer configured at the address of the choice.
 func (t *Table) Done(c Choice, r Report, now time.Time) {
 	e := t.find(c.Service, c.Endpoint)
 	if e == nil || e.config.Address != c.Address {
@@ -109,88 +112,89 @@
 	}
 	e.inflight = max(0, e.inflight-1)
 	if r.Inflight >= 0 && r.Incarnation != "" {
-		// The endpoint counted the exchange that just ended.
-		e.load.report(r.Inflight-1, e.inflight, now)
+		// The reported load includes the exchange that just ended.
+		e.load.update(r.Inflight-1, e.inflight, now)
 	}
-	if r.Kind == Refused {
-		e.load.report(e.config.Slots, e.inflight, now)
+	if r.Kind == Rejected {
+		e.load.update(e.config.Slots, e.inflight, now)
 	}
 	if r.Incarnation != "" {
-		t.observe(e, r.Incarnation, r.Leaving, now)
+		t.observeIncarnation(e, r.Incarnation, r.Leaving, now)
 	}
-	t.judge(e, c.Probe, r, now)
-	e.load.exchange = e.health.took
+	t.updateHealth(e, c.Probe, r, now)
+	e.load.meanExchange = e.health.exchangeTime
 }
 
-// judge updates the health of an endpoint.
-func (t *Table) judge(e *endpoint, probe bool, r Report, now time.Time) {
+// updateHealth updates the health of an endpoint after an exchange.
+func (t *Table) updateHealth(e *endpoint, probe bool, r Report, now time.Time) {
 	h := &e.health
 	switch r.Kind {
 	case Abandoned, FailedReused:
 	case NoConnection:
-		h.refusals++
-		if h.refusals >= unreachableAfter {
-			t.turnUnreachable(e, now)
+		h.connectFailures++
+		if h.connectFailures >= unreachableAfter {
+			t.markUnreachable(e, now)
 		}
 	case Answered:
-		h.refusals, h.failures = 0, 0
+		h.connectFailures, h.consecutiveFailures = 0, 0
 		h.sample(0, r.Took)
-	case Refused:
-		// A full endpoint refuses now and then; one that refuses everything is of no use.
-		h.refusals = 0
-		h.failures++
+	case Rejected:
+		// This counts half: a full endpoint rejects some requests, but one that rejects all of them must be ejected.
+		h.connectFailures = 0
+		h.consecutiveFailures++
 		h.sample(0.5, 0)
 	case ServerError, Failed:
-		h.refusals = 0
-		h.failures++
+		h.connectFailures = 0
+		h.consecutiveFailures++
 		h.sample(1, r.Took)
 	}
 	if probe {
-		t.endProbe(e, r.Kind, now)
+		t.finishProbe(e, r.Kind, now)
 		return
 	}
-	if h.state == usable && t.isBad(e) {
+	if h.state == usable && t.shouldEject(e) {
 		t.eject(e, now)
 	}
 }
 
-// sample adds one exchange to the averages. A took of 0 is no sample of the exchange time.
-func (h *health) sample(failure float64, took time.Duration) {
+// sample adds an exchange to the averages. An exchangeTime of 0 is not averaged.
+func (h *health) sample(failure float64, exchangeTime time.Duration) {
 	h.samples++
 	h.failureShare += sampleWeight * (failure - h.failureShare)
 	switch {
-	case took <= 0:
-	case h.took == 0:
-		h.took = took
+	case exchangeTime <= 0:
+	case h.exchangeTime == 0:
+		h.exchangeTime = exchangeTime
 	default:
-		h.took += time.Duration(sampleWeight * float64(took-h.took))
+		h.exchangeTime += time.Duration(sampleWeight * float64(exchangeTime-h.exchangeTime))
 	}
 }
 
-// isBad reports whether the endpoint fails or is slow, compared with the others of its service.
-func (t *Table) isBad(e *endpoint) bool {
+// shouldEject reports whether the endpoint fails or is slow compared with the others of its service.
+func (t *Table) shouldEject(e *endpoint) bool {
 	h := &e.health
-	if h.failures >= failuresInRow {
+	if h.consecutiveFailures >= failuresInRow {
 		return true
 	}
 	if h.samples < minSamples || h.samples%8 != 0 {
 		return false
 	}
-	share, took := e.service.typical()
+	share, exchangeTime := e.service.medians()
 	if h.failureShare > failureShare && share < failureShare/2 {
 		return true
 	}
-	return took > 0 && h.took > slowFloor && h.took > slowFactor*took
+	return exchangeTime > 0 && h.exchangeTime > slowFloor && h.exchangeTime > slowFactor*exchangeTime
 }
 
-// typical returns the median share of failures and the median exchange time of the service's usable endpoints.
-func (s *service) typical() (failureShare float64, took time.Duration) {
+// medians returns the median failure share and the median exchange time of the service's usable endpoints with enough
+// samples, 0 if there are none.
+func (s *service) medians() (failureShare float64, exchangeTime time.Duration) {
 	shares := make([]float64, 0, len(s.endpoints))
 	times := make([]time.Duration, 0, len(s.endpoints))
 	for _, e := range s.endpoints {
 		if e.health.state == usable && e.health.samples >= minSamples {
 			shares = append(shares, e.health.failureShare)
-			times = append(times, e.health.took)
+			times = append(times, e.health.exchangeTime)
 		}
 	}
 	if len(times) == 0 {
@@ -201,29 +205,29 @@
 	return shares[len(shares)/2], times[len(times)/2]
 }
 
-// eject takes an endpoint out for a while, unless too many of the service's endpoints are out already: failures of most
-// endpoints at once are more likely a fault of this gateway or of the requests.
+// eject ejects an endpoint, unless too many of the service's endpoints are ejected already: if most endpoints fail at
+// once, the cause is more likely this gateway or the requests.
 func (t *Table) eject(e *endpoint, now time.Time) {
 	h := &e.health
 	if (e.service.ejected+1)*100 > len(e.service.endpoints)*t.ejectPercent {
-		h.failures = 0
+		h.consecutiveFailures = 0
 		return
 	}
-	if now.Sub(h.trouble) > calmAfter {
+	if now.Sub(h.lastEjection) > ejectionMemory {
 		h.ejections = 0
 	}
 	h.ejections++
-	h.trouble = now
+	h.lastEjection = now
 	h.state = ejected
 	h.until = now.Add(min(ejectMax, ejectBase<<min(h.ejections-1, 10)))
 	h.probing = false
-	h.failures, h.samples, h.failureShare, h.took = 0, 0, 0, 0
+	h.consecutiveFailures, h.samples, h.failureShare, h.exchangeTime = 0, 0, 0, 0
 	e.service.ejected++
 }
 
-// endProbe returns an ejected endpoint to use after a good probe, and ejects it for longer after a bad one. A
-// probe that tells nothing is repeated.
-func (t *Table) endProbe(e *endpoint, kind ResultKind, now time.Time) {
+// finishProbe makes an ejected endpoint usable after a successful probe, and ejects it for longer after a failed one. A
+// probe without a conclusive result is repeated.
+func (t *Table) finishProbe(e *endpoint, kind ResultKind, now time.Time) {
 	if e.health.state != ejected {
 		return
 	}
@@ -238,15 +242,16 @@
 	}
 }
 
-// turnUnreachable takes out an endpoint that refuses connections until a connection probe succeeds.
-func (t *Table) turnUnreachable(e *endpoint, now time.Time) {
+// markUnreachable makes an endpoint unreachable until a connection probe succeeds, and schedules the next probe. An
+// ejected endpoint stays ejected.
+func (t *Table) markUnreachable(e *endpoint, now time.Time) {
 	h := &e.health
 	if h.state == ejected {
 		return
 	}
-	e.incarnation.refused = true
+	e.incarnation.listenerClosed = true
 	if h.state == usable {
-		h.turns = append(h.turns, now)
+		h.outages = append(h.outages, now)
 		h.backoff = probeBase
 	}
 	h.state = unreachable
@@ -254,8 +259,8 @@
 	h.backoff = min(2*h.backoff, probeMax)
 }
 
-// flaps reports whether the endpoint became unreachable too often lately.
-func (h *health) flaps(now time.Time) bool {
-	h.turns = slices.DeleteFunc(h.turns, func(at time.Time) bool { return now.Sub(at) > flapWindow })
-	return len(h.turns) >= flapCount
+// isFlapping reports whether the endpoint became unreachable at least flapCount times within flapWindow.
+func (h *health) isFlapping(now time.Time) bool {
+	h.outages = slices.DeleteFunc(h.outages, func(at time.Time) bool { return now.Sub(at) > flapWindow })
+	return len(h.outages) >= flapCount
 }
--- a/routing/leaving.go
+++ b/routing/leaving.go
@@ -8,43 +8,44 @@
 	"github.com/redwingthread/redwingthread/inner"
 )
 
-// LeavingBound is the time after the first sign within which a leaving endpoint stops getting requests.
+// LeavingBound is the maximum time after the first sign that an endpoint is leaving during which it may still get
+// requests.
 const LeavingBound = 3 * time.Second
 
-// listedLive is the time for which the VM list must name a leaving endpoint as live before the endpoint is asked for a
-// new incarnation. The list lags and goes back and forth, so it is never believed by itself.
-const listedLive = 10 * time.Second
+// minListedLive is the time for which the VM list must continuously show a leaving endpoint as live before the endpoint
+// is asked for its incarnation. The list lags and can go back and forth, so it never suffices by itself.
+const minListedLive = 10 * time.Second
 
-// leavingProbe is the time between connection probes of a leaving endpoint.
-const leavingProbe = time.Second
+// leavingProbeInterval is the interval between probes of a leaving endpoint.
+const leavingProbeInterval = time.Second
 
-// retiredKept bounds the replaced incarnations remembered per endpoint.
-const retiredKept = 8
+// maxRetired is the maximum number of replaced incarnations remembered per endpoint.
+const maxRetired = 8
 
-// incarnation is what is known about the incarnation of an endpoint.
+// incarnation is the known state of the current incarnation of an endpoint.
 type incarnation struct {
-	// id is empty until a response or a peer named it.
+	// id is empty until it is known from a response or a peer.
 	id string
-	// retired lists replaced incarnations, whose late responses say nothing about the present one.
+	// retired lists replaced incarnations, whose late responses say nothing about the current one.
 	retired []string
-	// refused is set once a connection to a leaving incarnation was refused: its listener is closed.
-	refused bool
-	// liveSince is when the VM list began to name the endpoint as live; zero while it does not.
+	// listenerClosed is true once a leaving incarnation refused a connection, since its listener is closed then.
+	listenerClosed bool
+	// liveSince is the time since which the VM list shows the endpoint as live; zero while it does not.
 	liveSince time.Time
 	// probeAt is the time of the next probe while the incarnation is leaving.
 	probeAt time.Time
 }
 
-// leavingSet holds the leaving endpoint incarnations with the time of the first sign. Marks are never taken back: only
-// a new incarnation gets work again.
+// leavingSet maps leaving endpoint incarnations to the time of the first sign. An incarnation stays marked as
+// leaving: only a new incarnation of the endpoint gets requests again.
 type leavingSet map[inner.EndpointIncarnation]time.Time
 
-// name returns the present incarnation of an endpoint.
+// name returns the full name of the current incarnation of an endpoint.
 func (e *endpoint) name() inner.EndpointIncarnation {
 	return inner.EndpointIncarnation{Service: e.service.name, Endpoint: e.config.ID, Incarnation: e.incarnation.id}
 }
 
-// since reports whether the present incarnation of the endpoint is leaving, and since when.
+// since reports whether the current incarnation of the endpoint is leaving, and since when.
 func (s leavingSet) since(e *endpoint) (time.Time, bool) {
 	if len(s) == 0 {
 		return time.Time{}, false
@@ -53,33 +54,33 @@
 	return at, ok
 }
 
-// mark records a sign that the endpoint's present incarnation leaves.
-func (t *Table) mark(e *endpoint, now time.Time) {
+// markLeaving marks the current incarnation of the endpoint as leaving.
+func (t *Table) markLeaving(e *endpoint, now time.Time) {
 	if _, ok := t.leaving[e.name()]; ok {
 		return
 	}
 	t.leaving[e.name()] = now
-	e.incarnation.refused = false
-	e.incarnation.probeAt = now.Add(leavingProbe)
+	e.incarnation.listenerClosed = false
+	e.incarnation.probeAt = now.Add(leavingProbeInterval)
 }
 
-// observe takes in the incarnation that an endpoint stated itself.
-func (t *Table) observe(e *endpoint, id string, leaving bool, now time.Time) {
+// observeIncarnation applies the incarnation and the leaving state that an endpoint reported itself.
+func (t *Table) observeIncarnation(e *endpoint, id string, leaving bool, now time.Time) {
 	for _, old := range e.incarnation.retired {
 		if old == id {
 			return
 		}
 	}
 	if id != e.incarnation.id {
-		t.replace(e, id, now)
+		t.replaceIncarnation(e, id, now)
 	}
 	if leaving {
-		t.mark(e, now)
+		t.markLeaving(e, now)
 	}
 }
 
-// replace sets the present incarnation of an endpoint.
-func (t *Table) replace(e *endpoint, id string, now time.Time) {
+// replaceIncarnation sets the current incarnation of an endpoint and retires the previous one.
+func (t *Table) replaceIncarnation(e *endpoint, id string, now time.Time) {
 	old := e.name()
 	since, wasLeaving := t.leaving[old]
 	delete(t.leaving, old)
@@ -87,19 +88,19 @@
 	e.incarnation.liveSince = time.Time{}
 	if old.Incarnation != "" {
 		e.incarnation.retired = append(e.incarnation.retired, old.Incarnation)
-		if len(e.incarnation.retired) > retiredKept {
+		if len(e.incarnation.retired) > maxRetired {
 			e.incarnation.retired = e.incarnation.retired[1:]
 		}
 		return
 	}
-	// A mark made before the incarnation was known holds for the incarnation that first responds.
+	// A mark that was made before the incarnation was known applies to the first incarnation that becomes known.
 	if wasLeaving {
 		t.leaving[e.name()] = since
-		e.incarnation.probeAt = now.Add(leavingProbe)
+		e.incarnation.probeAt = now.Add(leavingProbeInterval)
 	}
 }
 
-// Learn takes in leaving incarnations from a peer.
+// Learn marks the incarnations that a peer reports as leaving.
 func (t *Table) Learn(list []inner.EndpointIncarnation, now time.Time) {
 	for _, name := range list {
 		e := t.find(name.Service, name.Endpoint)
@@ -107,38 +108,38 @@
 			continue
 		}
 		if name.Incarnation == "" && e.incarnation.id == "" || name.Incarnation == e.incarnation.id {
-			t.mark(e, now)
+			t.markLeaving(e, now)
 			continue
 		}
 		if name.Incarnation != "" {
-			t.learnOther(e, name, now)
+			t.learnOtherIncarnation(e, name, now)
 		}
 	}
 }
 
-// learnOther takes in a mark for an incarnation that is not the one this gateway knows.
-func (t *Table) learnOther(e *endpoint, name inner.EndpointIncarnation, now time.Time) {
+// learnOtherIncarnation marks an incarnation that is not the current one as known to this gateway.
+func (t *Table) learnOtherIncarnation(e *endpoint, name inner.EndpointIncarnation, now time.Time) {
 	for _, old := range e.incarnation.retired {
 		if old == name.Incarnation {
 			return
 		}
 	}
 	if e.incarnation.id == "" {
-		t.replace(e, name.Incarnation, now)
-		t.mark(e, now)
+		t.replaceIncarnation(e, name.Incarnation, now)
+		t.markLeaving(e, now)
 		return
 	}
-	// The endpoint's next response tells whether the named incarnation came before or after the known one.
+	// The next response of the endpoint shows whether the reported incarnation is older or newer than the known one.
 	if _, ok := t.leaving[name]; !ok {
 		t.leaving[name] = now
 	}
 }
 
-// markKept is how long a mark is kept that is not of a present incarnation.
-const markKept = 10 * time.Minute
+// staleMarkRetention is how long the mark of an incarnation that is not current is kept.
+const staleMarkRetention = 10 * time.Minute
 
-// Leaving lists the present incarnations that are leaving, to be offered to peers. Marks of others are not passed on and
-// are dropped after a while; gateways would otherwise teach them to each other for good.
+// Leaving lists the current incarnations that are leaving, for peers. Marks of other incarnations are not passed on and
+// are dropped after staleMarkRetention: gateways would otherwise pass them to each other forever.
 func (t *Table) Leaving(now time.Time) []inner.EndpointIncarnation {
 	var list []inner.EndpointIncarnation
 	for name, since := range t.leaving {
@@ -146,14 +147,14 @@
 		switch {
 		case e != nil && e.name() == name:
 			list = append(list, name)
-		case now.Sub(since) > markKept:
+		case now.Sub(since) > staleMarkRetention:
 			delete(t.leaving, name)
 		}
 	}
 	return list
 }
 
-// ObserveVMs takes in the platform's list. An endpoint is matched by its id or its address.
+// ObserveVMs applies the platform's VM list. VMs are matched to endpoints by id or, failing that, by address.
 func (t *Table) ObserveVMs(vms []infra.VM, now time.Time) {
 	byID := make(map[string]infra.VMState, len(vms))
 	byAddress := make(map[string]infra.VMState, len(vms))
@@ -174,11 +175,11 @@
 	}
 }
 
-// observeVM takes in the listed state of one endpoint, empty if it is not listed.
+// observeVM applies the state of an endpoint in the VM list, empty if it is not listed.
 func (t *Table) observeVM(e *endpoint, state infra.VMState, now time.Time) {
 	switch state {
 	case infra.VMLeaving:
-		t.mark(e, now)
+		t.markLeaving(e, now)
 		e.incarnation.liveSince = time.Time{}
 	case infra.VMLive:
 		if e.incarnation.liveSince.IsZero() {
@@ -189,7 +190,7 @@
 	}
 }
 
-// applyDrains takes the operators' drains from the document. A drain ends when the operator removes it.
+// applyDrains sets which endpoints the document drains. A drain lasts until it is removed from the document.
 func (t *Table) applyDrains(doc *config.Document) {
 	for _, s := range t.services {
 		for _, e := range s.endpoints {
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// Probe asks the adapter to test an endpoint on a new connection that is closed afterwards.
+// Probe is a request to test an endpoint on a new connection that is closed afterwards. The caller of Probes carries it
+// out.
 type Probe struct {
 	Service  string
 	Endpoint string
 	Address  string
-	// MaxConnections bounds the connections of this gateway to the endpoint, the probe's included.
+	// MaxConnections is the maximum number of connections of this gateway to the endpoint, including that of the probe.
 	MaxConnections int
-	// Ask is true if the endpoint is to be asked for its incarnation; otherwise the connection alone is tested.
-	Ask bool
+	// QueryIncarnation is true if the probe must ask the endpoint for its incarnation. Otherwise it only opens the
+	// connection.
+	QueryIncarnation bool
 }
 
-// ProbeResult is what came of a Probe.
+// ProbeResult is the result of a Probe.
 type ProbeResult struct {
 	// Connected reports whether the connection was opened.
 	Connected bool
@@ -22,9 +24,9 @@
 	Leaving     bool
 }
 
-// Probes returns the probes due now and counts them as under way. Endpoints that refuse connections are tested by
-// connection alone. A leaving one is asked for its incarnation once its listener was closed and is open again, or once
-// the VM list named it as live for a while; until then it is tested by connection alone, which is no work.
+// Probes returns the probes that are due and marks them as in progress. Unreachable endpoints are probed by opening a
+// connection. A leaving endpoint is probed by opening a connection too, which is no work for it, until it has refused a
+// connection or the VM list has shown it as live for minListedLive; from then on it is asked for its incarnation.
 func (t *Table) Probes(now time.Time) []Probe {
 	var due []Probe
 	for _, s := range t.services {
@@ -35,11 +37,11 @@
 			if ask, ok := t.probeDue(e, now); ok {
 				e.health.probing = true
 				due = append(due, Probe{
-					Service:        s.name,
-					Endpoint:       e.config.ID,
-					Address:        e.config.Address,
-					MaxConnections: e.connections,
-					Ask:            ask,
+					Service:          s.name,
+					Endpoint:         e.config.ID,
+					Address:          e.config.Address,
+					MaxConnections:   e.connections,
+					QueryIncarnation: ask,
 				})
 			}
 		}
@@ -47,14 +49,14 @@
 	return due
 }
 
-// probeDue reports whether an endpoint is due to be probed by the adapter.
+// probeDue reports whether a probe of the endpoint is due, and whether it must ask for the incarnation.
 func (t *Table) probeDue(e *endpoint, now time.Time) (ask, due bool) {
 	if _, leaving := t.leaving.since(e); leaving {
 		if now.Before(e.incarnation.probeAt) {
 			return false, false
 		}
 		live := e.incarnation.liveSince
-		return e.incarnation.refused || !live.IsZero() && now.Sub(live) >= listedLive, true
+		return e.incarnation.listenerClosed || !live.IsZero() && now.Sub(live) >= minListedLive, true
 	}
 	switch e.health.state {
 	case unreachable:
@@ -65,47 +67,48 @@
 	return false, false
 }
 
-// probeGrace is the time after an ejection for which a repeatable request may come by as a probe. A service without such
-// requests has its ejected endpoints asked instead; they would otherwise stay out for good.
+// probeGrace is the time after the end of an ejection during which an idempotent request may serve as the probe. If
+// none arrives, the endpoint is asked for its incarnation instead: the ejected endpoints of a service without
+// idempotent requests would otherwise never return.
 const probeGrace = time.Second
 
-// ProbeDone takes in the result of a probe.
+// ProbeDone applies the result of a probe. It must be called once for each probe that Probes returned.
 func (t *Table) ProbeDone(p Probe, r ProbeResult, now time.Time) {
 	e := t.find(p.Service, p.Endpoint)
 	if e == nil || e.config.Address != p.Address {
 		return
 	}
 	e.health.probing = false
-	e.incarnation.probeAt = now.Add(leavingProbe)
-	if p.Ask && e.health.state == ejected {
+	e.incarnation.probeAt = now.Add(leavingProbeInterval)
+	if p.QueryIncarnation && e.health.state == ejected {
 		kind := Failed
 		if r.Incarnation != "" {
 			kind = Answered
 		}
-		t.endProbe(e, kind, now)
+		t.finishProbe(e, kind, now)
 	}
 	if !r.Connected {
-		t.turnUnreachable(e, now)
+		t.markUnreachable(e, now)
 		return
 	}
 	if r.Incarnation != "" {
-		t.askedIncarnation(e, r, now)
+		t.applyIncarnationProbe(e, r, now)
 	}
 	if e.health.state != unreachable {
 		return
 	}
 	e.health.state = usable
-	e.health.refusals = 0
-	if e.health.flaps(now) {
+	e.health.connectFailures = 0
+	if e.health.isFlapping(now) {
 		t.eject(e, now)
 	}
 }
 
-// askedIncarnation takes in the incarnation that a probe learned. If the leaving one was never named, an endpoint that
-// does not call itself leaving any more counts as a new one.
-func (t *Table) askedIncarnation(e *endpoint, r ProbeResult, now time.Time) {
+// applyIncarnationProbe applies the incarnation that a probe returned. If the id of the leaving incarnation was never
+// known, an endpoint that does not report itself as leaving counts as a new incarnation.
+func (t *Table) applyIncarnationProbe(e *endpoint, r ProbeResult, now time.Time) {
 	if e.incarnation.id == "" && !r.Leaving {
 		delete(t.leaving, e.name())
 	}
-	t.observe(e, r.Incarnation, r.Leaving, now)
+	t.observeIncarnation(e, r.Incarnation, r.Leaving, now)
 }
--- a/routing/table.go
+++ b/routing/table.go
@@ -1,7 +1,7 @@
-// Package routing chooses the endpoint of each request and decides which endpoints get none.
+// Package routing chooses the endpoint of each request and decides which endpoints get no requests.
 //
-// The package is pure: it has no I/O, clock or goroutines, and its random choices follow from the seed. A Table is not
-// safe for concurrent use.
+// The package does no I/O, reads no clock and starts no goroutines. Its random choices are determined by the seed. A
+// Table is not safe for concurrent use.
 package routing
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/redwingthread/redwingthread/invariant"
 )
 
-// Defaults of the policy fields that are 0.
+// Defaults for policy fields that are 0.
 const (
 	DefaultSeats        = 8
 	DefaultEjectPercent = 30
 )
 
-// Table holds the endpoints of all services as one gateway sees them.
+// Table holds the endpoints of all services as seen by one gateway.
 type Table struct {
 	failureDomain string
 	random        *rand.Rand
@@ -31,17 +31,17 @@
 	unsafe Rules
 }
 
-// Rules names rules of a Table.
+// Rules selects rules of a Table.
 type Rules struct {
 	Leaving bool
 	Health  bool
 	Bound   bool
 }
 
-// UnsafeIgnore switches rules off. Only tests call it, to show that their checks need the rules.
+// UnsafeIgnore disables rules. Only tests call it, to show that their checks detect the missing rules.
 func (t *Table) UnsafeIgnore(rules Rules) { t.unsafe = rules }
 
-// service holds the endpoints of one service in order of their id.
+// service holds the endpoints of one service, sorted by id.
 type service struct {
 	name      string
 	endpoints []*endpoint
@@ -55,9 +55,9 @@
 type endpoint struct {
 	service *service
 	config  config.Endpoint
-	// connections bounds the connections and so the exchanges of this gateway.
+	// connections is the maximum number of connections, and so of concurrent exchanges, of this gateway.
 	connections int
-	// inflight counts the exchanges of this gateway.
+	// inflight is the number of exchanges of this gateway in progress.
 	inflight    int
 	load        load
 	health      health
@@ -66,20 +66,20 @@
 	drained bool
 }
 
-// Choice is an endpoint chosen for one exchange. It must be given back with Done.
+// Choice is an endpoint chosen for one exchange. It must be passed to Done exactly once.
 type Choice struct {
 	Service  string
 	Endpoint string
 	Address  string
-	// MaxConnections bounds the connections of this gateway to the endpoint.
+	// MaxConnections is the maximum number of connections of this gateway to the endpoint.
 	MaxConnections int
 	// Local is false for an endpoint of another failure domain.
 	Local bool
-	// Probe marks the only exchange that tests an ejected endpoint.
+	// Probe is true if the exchange probes an ejected endpoint. At most one such exchange is in progress per endpoint.
 	Probe bool
 }
 
-// NewTable returns an empty table for a gateway of the failure domain.
+// NewTable returns an empty table for a gateway in the failure domain. The seed determines the random choices.
 func NewTable(failureDomain string, seed uint64) *Table {
 	return &Table{
 		failureDomain: failureDomain,
@@ -89,7 +89,8 @@
 	}
 }
 
-// SetConfig replaces services and policy. An endpoint that keeps its id and address keeps its state.
+// SetConfig applies the services, policy and drains of the document. An endpoint that keeps its id and address keeps
+// its state.
 func (t *Table) SetConfig(doc *config.Document) {
 	t.seats = doc.Policy.GatewaySeats
 	if t.seats <= 0 {
@@ -107,7 +108,8 @@
 	t.applyDrains(doc)
 }
 
-// newService builds the state of a service and takes over what is known from the previous one, nil if there is none.
+// newService returns the state of a service and keeps the state of unchanged endpoints of the previous one, which may
+// be nil.
 func (t *Table) newService(name string, doc config.Service, previous *service) *service {
 	s := &service{name: name, byID: make(map[string]*endpoint, len(doc.Endpoints))}
 	for id, c := range doc.Endpoints {
@@ -120,7 +122,8 @@
 		}
 		e.service = s
 		e.config = c
-		// The hard bound needs no agreement between gateways while at most seats of them live.
+		// Each gateway gets a fixed share, so the endpoint's limit holds without coordination as long as there are at
+		// most t.seats live gateways.
 		e.connections = c.MaxConnections / t.seats
 		if e.health.state == ejected {
 			s.ejected++
@@ -135,7 +138,7 @@
 // Has reports whether the service is configured.
 func (t *Table) Has(name string) bool { return t.services[name] != nil }
 
-// find returns an endpoint, nil if it is not configured.
+// find returns the endpoint, nil if it is not configured.
 func (t *Table) find(serviceName, id string) *endpoint {
 	if s := t.services[serviceName]; s != nil {
 		return s.byID[id]
@@ -143,9 +146,9 @@
 	return nil
 }
 
-// Pick chooses an endpoint with a free slot for one exchange and counts it as in use. It avoids the excluded endpoints
-// if there is another. With mayProbe the exchange may test an ejected endpoint, which a request that cannot be repeated
-// should not do. It reports false if no endpoint may be used now.
+// Pick chooses an endpoint with a free slot for one exchange and reserves the slot. It avoids the excluded endpoints if
+// there are others. With mayProbe, which is only safe for idempotent requests, the exchange may probe an ejected
+// endpoint. Pick returns false if no endpoint may be used now.
 func (t *Table) Pick(serviceName string, exclude []string, mayProbe bool, now time.Time) (Choice, bool) {
 	s := t.services[serviceName]
 	if s == nil {
@@ -169,7 +172,7 @@
 	}, true
 }
 
-// Dispatching asserts, right before the first byte is written, that the endpoint may still get work.
+// Dispatching asserts that the endpoint may still get requests. It is called right before the first byte is written.
 func (t *Table) Dispatching(c Choice, now time.Time) {
 	e := t.find(c.Service, c.Endpoint)
 	if e == nil {
@@ -184,17 +187,17 @@
 		now.Sub(since))
 }
 
-// EndpointStatus is the state of one endpoint for metrics and operators.
+// EndpointStatus is the state of one endpoint for metrics.
 type EndpointStatus struct {
-	Service  string
-	Endpoint string
-	Inflight int
-	Ejected  bool
-	Gone     bool
-	Leaving  bool
+	Service     string
+	Endpoint    string
+	Inflight    int
+	Ejected     bool
+	Unreachable bool
+	Leaving     bool
 }
 
-// Status lists all endpoints in order of service and id.
+// Status lists the state of all endpoints, sorted by service and id.
 func (t *Table) Status() []EndpointStatus {
 	names := make([]string, 0, len(t.services))
 	for name := range t.services {
@@ -206,12 +209,12 @@
 		for _, e := range t.services[name].endpoints {
 			_, leaving := t.leaving.since(e)
 			list = append(list, EndpointStatus{
-				Service:  name,
-				Endpoint: e.config.ID,
-				Inflight: e.inflight,
-				Ejected:  e.health.state == ejected,
-				Gone:     e.health.state == unreachable,
-				Leaving:  leaving,
+				Service:     name,
+				Endpoint:    e.config.ID,
+				Inflight:    e.inflight,
+				Ejected:     e.health.state == ejected,
+				Unreachable: e.health.state == unreachable,
+				Leaving:     leaving,
 			})
 		}
 	}
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-// testTable returns a table of a gateway in fd-0 with n endpoints in turn in fd-0 and fd-1.
+// testTable returns the table of a gateway in fd-0 with n endpoints that alternate between fd-0 and fd-1.
 func testTable(n, connections int) *Table {
 	endpoints := map[string]config.Endpoint{}
 	for i := range n {
@@ -24,7 +24,7 @@
 	return t
 }
 
-// TestConnectionBound guards against more connections than this gateway's share of an endpoint's bound.
+// TestConnectionBound guards against more concurrent exchanges than the gateway's share of an endpoint's connections.
 func TestConnectionBound(t *testing.T) {
 	for connections, want := range map[int]int{64: 8, 63: 7, 15: 1, 7: 0} {
 		for _, ignore := range []bool{false, true} {
@@ -44,8 +44,7 @@
 	}
 }
 
-// TestEjection guards against requests for endpoints that fail, are slow or flap, against too many ejections, and
-// against an ejected endpoint that never returns.
+// TestEjection guards against endpoints that keep getting requests although they fail, are slow or are unreachable.
 func TestEjection(t *testing.T) {
 	bad := map[string]func(round int, id string) Report{
 		"failing":      func(int, string) Report { return Report{Kind: Failed, Inflight: -1} },
@@ -81,7 +80,8 @@
 	}
 }
 
-// TestEjectionBound guards against a fault of the gateway itself that ejects every endpoint.
+// TestEjectionBound guards against the ejection of every endpoint when all exchanges fail, for example because of a
+// fault of the gateway itself.
 func TestEjectionBound(t *testing.T) {
 	table := testTable(20, 64)
 	now := start
@@ -102,7 +102,8 @@
 	}
 }
 
-// TestProbing guards against a probe that harms a request that cannot be repeated, or more than one at a time.
+// TestProbing guards against a request that is not idempotent serving as a probe, and against more than one probe of an
+// endpoint at a time.
 func TestProbing(t *testing.T) {
 	table := testTable(8, 64)
 	eject := func(now time.Time) {
@@ -113,7 +114,7 @@
 	eject(start)
 	now := start.Add(ejectBase)
 	if c, _ := table.Pick("s", nil, false, now); c.Probe {
-		t.Fatal("request that cannot be repeated is a probe")
+		t.Fatal("request without mayProbe is a probe")
 	}
 	probe, _ := table.Pick("s", nil, true, now)
 	if second, _ := table.Pick("s", nil, true, now); !probe.Probe || second.Probe {
@@ -130,8 +131,9 @@
 	}
 }
 
-// TestAskedProbe guards against an ejected endpoint that stays out because its service has no request that may probe it.
-func TestAskedProbe(t *testing.T) {
+// TestIncarnationProbeEndsEjection guards against an endpoint that stays ejected because its service has no idempotent
+// requests that could serve as a probe.
+func TestIncarnationProbeEndsEjection(t *testing.T) {
 	table := testTable(8, 64)
 	for range failuresInRow {
 		table.Done(Choice{Service: "s", Endpoint: "e-0", Address: "e-0"}, Report{Kind: Failed, Inflight: -1}, start)
@@ -139,7 +141,7 @@
 	now := start.Add(ejectBase + probeGrace)
 	for i, r := range []ProbeResult{{Connected: true}, {Connected: true, Incarnation: "i"}} {
 		due := table.Probes(now)
-		if len(due) != 1 || !due[0].Ask || len(table.Probes(now)) != 0 {
+		if len(due) != 1 || !due[0].QueryIncarnation || len(table.Probes(now)) != 0 {
 			t.Fatalf("round %d: got probes %v", i, due)
 		}
 		table.ProbeDone(due[0], r, now)
@@ -150,7 +152,7 @@
 	}
 }
 
-// TestFlapping guards against an endpoint that comes and goes and takes requests down with it each time.
+// TestFlapping guards against an endpoint that repeatedly becomes unreachable and fails requests each time.
 func TestFlapping(t *testing.T) {
 	table := testTable(8, 64)
 	now := start
@@ -168,7 +170,7 @@
 	}
 }
 
-// TestLeavingAssertion guards against an assertion that does not notice work for a leaving endpoint.
+// TestLeavingAssertion guards against an assertion that does not detect a request to a leaving endpoint.
 func TestLeavingAssertion(t *testing.T) {
 	for _, ignore := range []bool{false, true} {
 		table := testTable(1, 64)
@@ -188,7 +190,8 @@
 	}
 }
 
-// TestLateResponseOfOldIncarnation guards against an old incarnation's late response that marks the new one as leaving.
+// TestLateResponseOfOldIncarnation guards against a late response of an old incarnation that marks the new one as
+// leaving.
 func TestLateResponseOfOldIncarnation(t *testing.T) {
 	table := testTable(1, 64)
 	c := Choice{Service: "s", Endpoint: "e-0", Address: "e-0"}
