--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -135,7 +135,7 @@
 	if n >= maxAttempts || last.Failure == endpoint.Withheld {
 		return false
 	}
-	if attempts.MayHaveRun() && !attempts.Repeatable && !g.unsafe.retryAlways {
+	if attempts.MayHaveRun() && !attempts.Idempotent && !g.unsafe.retryAlways {
 		return false
 	}
 	if !time.Now().Before(c.deadline) {
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -171,7 +171,7 @@
 	}
 	if c.idempotent {
 		g.dispatcher.countFirstAttempt(c.account.Name)
-		attempts := &request.Attempts{Repeatable: true}
+		attempts := &request.Attempts{Idempotent: true}
 		resp := g.run(ctx, c, attempts)
 		attempts.CheckOutcome(resp.Outcome)
 		return resp
--- a/request/example_test.go
+++ b/request/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/redwingthread/redwingthread/request"
 )
 
-// Only the first request with a key may be dispatched; a repeat gets the stored result.
+// Only the first request with a key may be dispatched. A repeat joins the running request or gets the stored result.
 func ExampleTable() {
 	owner := request.Owner{FailureDomain: "fd-a", VM: "entry-1", Incarnation: "1"}
 	secret := []byte("use 32 random bytes here") // crypto/rand.Read in a program
--- a/request/interval.go
+++ b/request/interval.go
@@ -8,13 +8,13 @@
 	high uint64
 }
 
-// IntervalSet is a set of sequence numbers kept as sorted, disjoint, non-adjacent ranges. Its size depends on the number
-// of gaps, not on the number of members. The zero value is empty.
+// IntervalSet is a set of sequence numbers, stored as sorted, disjoint, non-adjacent ranges. Its memory depends on the
+// number of gaps, not on the number of members. The zero value is an empty set.
 type IntervalSet struct {
 	ranges []interval
 }
 
-// position returns the index of the first range whose high end is at or above n.
+// position returns the index of the first range with an upper bound of at least n.
 func (s *IntervalSet) position(n uint64) int {
 	return sort.Search(len(s.ranges), func(i int) bool { return s.ranges[i].high >= n })
 }
@@ -25,7 +25,7 @@
 	return i < len(s.ranges) && s.ranges[i].low <= n
 }
 
-// Add puts n into the set and reports whether it was absent.
+// Add adds n to the set and reports whether it was absent.
 func (s *IntervalSet) Add(n uint64) bool {
 	i := s.position(n)
 	if i < len(s.ranges) && s.ranges[i].low <= n {
@@ -52,8 +52,8 @@
 // Len returns the number of ranges.
 func (s *IntervalSet) Len() int { return len(s.ranges) }
 
-// CloseOldestGap adds all numbers between the two lowest ranges to the set, so that it has one range less. It does
-// nothing if there are fewer than two ranges.
+// CloseOldestGap merges the two lowest ranges by adding all numbers between them. It does nothing if there are fewer
+// than two ranges.
 func (s *IntervalSet) CloseOldestGap() {
 	if len(s.ranges) < 2 {
 		return
--- a/request/key.go
+++ b/request/key.go
@@ -1,10 +1,11 @@
-// Package request holds request keys, the table of the keys that a gateway incarnation issued, and the outcomes of
+// Package request implements request keys, the table of the keys that a gateway incarnation issued, and the outcomes of
 // requests.
 //
-// A key names the gateway incarnation that issued it. Only that incarnation may dispatch the key's request, so a key
-// runs at most once without any agreement between gateways: the memory of what ran and the right to run it end together.
+// A key names the gateway incarnation that issued it. Only that incarnation may dispatch a request with the key, so a
+// key runs at most once without coordination between gateways: the record of which keys ran and the right to run them
+// are lost together.
 //
-// The package is pure: it has no I/O, clock or goroutines. A Table is not safe for concurrent use.
+// The package does no I/O, reads no clock and starts no goroutines. A Table is not safe for concurrent use.
 package request
 
 import (
@@ -20,14 +21,14 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// Outcome says what is known about the effect of a request.
+// Outcome is what is known about whether a request ran.
 type Outcome string
 
 // The outcomes.
 const (
-	// Completed marks a request whose whole response is known.
+	// Completed marks a request whose complete response is known.
 	Completed Outcome = "completed"
-	// NotRun marks a request that did not run and never will under the same key.
+	// NotRun marks a request that did not run and never will run under the same key.
 	NotRun Outcome = "not_run"
 	// Unknown marks a request that may or may not have run.
 	Unknown Outcome = "unknown"
@@ -40,25 +41,28 @@
 	Incarnation   string
 }
 
-// Key is a parsed request key. The text form is failure domain, VM, incarnation, sequence and MAC, joined by slashes.
+// Key is a parsed request key. Its text form consists of the failure domain, VM, incarnation, sequence number and MAC,
+// joined by slashes.
 type Key struct {
 	Owner    Owner
 	Sequence uint64
 	mac      []byte
 }
 
-// macBytes is the length of a truncated MAC; 16 bytes leave a forger a chance of 2^-128 per try.
+// macBytes is the length of the truncated MAC in bytes. With 16 bytes, a forged key is valid with a probability of
+// 2^-128.
 const macBytes = 16
 
-// maxKeyLength bounds the text form in bytes.
+// maxKeyLength is the maximum length of the text form in bytes.
 const maxKeyLength = 512
 
 const keyRemedy = "get a key with POST /v1/keys and send it unchanged"
 
-// Parse reads the text form of a key. It does not check the MAC, which only the owner can.
+// Parse parses the text form of a key. It returns a BadInput error if the text is malformed. It does not verify the
+// MAC, which only the owner of the key can do.
 func Parse(text string) (Key, error) {
 	if len(text) > maxKeyLength {
-		return Key{}, errkind.New(errkind.BadInput, keyRemedy, "request key has %d bytes", len(text))
+		return Key{}, errkind.New(errkind.BadInput, keyRemedy, "request key of %d bytes is too long", len(text))
 	}
 	parts := strings.Split(text, "/")
 	if len(parts) != 5 {
@@ -67,13 +71,13 @@
 	for i := range parts[:3] {
 		part, err := url.PathUnescape(parts[i])
 		if err != nil || part == "" {
-			return Key{}, errkind.New(errkind.BadInput, keyRemedy, "request key names no owner")
+			return Key{}, errkind.New(errkind.BadInput, keyRemedy, "request key has an empty or malformed owner")
 		}
 		parts[i] = part
 	}
 	sequence, err := strconv.ParseUint(parts[3], 10, 64)
 	if err != nil {
-		return Key{}, errkind.Wrap(err, errkind.BadInput, keyRemedy, "request key has no sequence number")
+		return Key{}, errkind.Wrap(err, errkind.BadInput, keyRemedy, "request key has a malformed sequence number")
 	}
 	mac, err := base64.RawURLEncoding.DecodeString(parts[4])
 	if err != nil || len(mac) != macBytes {
@@ -83,7 +87,7 @@
 	return Key{Owner: owner, Sequence: sequence, mac: mac}, nil
 }
 
-// String returns the text form.
+// String returns the text form of the key.
 func (k Key) String() string {
 	return strings.Join([]string{
 		url.PathEscape(k.Owner.FailureDomain),
@@ -94,17 +98,17 @@
 	}, "/")
 }
 
-// signer makes and checks the MACs of one gateway incarnation. It keeps its hash, since setting up the inner and outer
-// pads for each key takes most of the time and allocations.
+// signer computes and verifies the MACs of one gateway incarnation. It reuses its hash, since setting up the inner and
+// outer pads of HMAC for each key would take most of the time and allocations.
 type signer struct {
 	mac hash.Hash
 	sum []byte
 }
 
-// newSigner returns a signer with the secret.
+// newSigner returns a signer that uses the secret.
 func newSigner(secret []byte) *signer { return &signer{mac: hmac.New(sha256.New, secret)} }
 
-// sign returns the MAC over the sequence number and the account. It is valid until the next call.
+// sign returns the MAC of the sequence number and the account. The slice is valid until the next call.
 func (s *signer) sign(account string, sequence uint64) []byte {
 	s.mac.Reset()
 	s.sum = binary.BigEndian.AppendUint64(s.sum[:0], sequence)
@@ -114,7 +118,7 @@
 	return s.sum[:macBytes]
 }
 
-// valid reports whether the key was issued to the account.
+// valid reports whether the MAC shows that the key was issued to the account.
 func (s *signer) valid(account string, key Key) bool {
 	return hmac.Equal(key.mac, s.sign(account, key.Sequence))
 }
--- a/request/table.go
+++ b/request/table.go
@@ -9,23 +9,23 @@
 	"github.com/redwingthread/redwingthread/invariant"
 )
 
-// Fingerprint identifies the content of a request. A key is bound to the first fingerprint it is used with.
+// Fingerprint identifies the content of a request. A key is bound to the first fingerprint with which it is used.
 type Fingerprint struct {
 	Method string
-	// Path is the service, the escaped path below it and the query.
+	// Path is the service name, the escaped path below it and the query.
 	Path string
 	// BodyDigest is the SHA-256 digest of the body.
 	BodyDigest [32]byte
 }
 
-// Response is a whole response of an endpoint.
+// Response is a complete response of an endpoint.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// size estimates the memory that a stored response takes, in bytes.
+// size estimates the memory of a stored response, in bytes.
 func (r *Response) size() int {
 	n := len(r.Body)
 	for name, values := range r.Header {
@@ -37,55 +37,57 @@
 	return n
 }
 
-// Result is the end of a request. Response is set if Outcome is Completed, Err otherwise.
+// Result is the result of a request. Response is set if Outcome is Completed; Err is set otherwise.
 type Result struct {
 	Outcome  Outcome
 	Response *Response
 	Err      error
 }
 
-// Action says what the owner of a key does with a request.
+// Action is what the owner of a key must do with a request.
 type Action int
 
 // The actions.
 const (
-	// Run means that this request alone may be dispatched.
+	// Run means that this request may be dispatched. No other request with the key may.
 	Run Action = iota + 1
-	// Join means that the same request is running and this one gets its result.
+	// Join means that a request with the key is running. This request must wait for its result.
 	Join
-	// Replay means that the request ended and Decision.Result is its result. Its Response is nil if the request was not
-	// completed or the stored response was evicted.
+	// Replay means that the request with the key has finished and Decision.Result is its result. Result.Response is nil
+	// if the request was not completed or its result was evicted.
 	Replay
 )
 
-// Decision is the answer of Begin.
+// Decision is the result of Table.Begin.
 type Decision struct {
 	Action Action
-	// Attempts is set if Action is Run. It belongs to the caller until Finish.
+	// Attempts is set if Action is Run. The caller owns it until Finish.
 	Attempts *Attempts
 	// Result is set if Action is Replay.
 	Result Result
 }
 
-// Limits bounds the memory of a Table.
+// Limits limits the memory of a Table.
 type Limits struct {
-	// StoredBytes bounds the stored responses of all accounts together.
+	// StoredBytes is the maximum total size of the stored results of all accounts.
 	StoredBytes int
-	// StoredBytesPerAccount bounds the stored responses of one account, so that none evicts the others'.
+	// StoredBytesPerAccount is the maximum total size of the stored results of one account. It keeps one account from
+	// evicting the results of the others.
 	StoredBytesPerAccount int
-	// Gaps bounds the unused keys between used ones. Above it the oldest unused keys can no longer be used.
+	// Gaps is the maximum number of ranges of used keys, which are separated by gaps of unused ones. Above it, the keys
+	// in the oldest gap become unusable.
 	Gaps int
 }
 
-// DefaultLimits returns limits that keep a table under about 20 MB.
+// DefaultLimits returns limits that keep the memory of a table below about 20 MB.
 func DefaultLimits() Limits {
 	return Limits{StoredBytes: 16 << 20, StoredBytesPerAccount: 6 << 20, Gaps: 16384}
 }
 
-// entryOverhead is the estimated memory of a stored result besides its response, in bytes.
+// entryOverhead is the estimated memory of a stored result without its response, in bytes.
 const entryOverhead = 512
 
-// entry is a key that is running or whose result is stored.
+// entry is the state of a key that is running or whose result is stored.
 type entry struct {
 	sequence    uint64
 	account     string
@@ -94,30 +96,32 @@
 	done        bool
 	result      Result
 	size        int
-	// stored and storedBy are the elements in Table.order and the account's order while the result is stored.
+	// stored and storedBy are the elements of the entry in Table.order and in the account's order. They are nil until
+	// the result is stored.
 	stored   *list.Element
 	storedBy *list.Element
 }
 
-// accountEntries lists the stored entries of one account, oldest first.
+// accountEntries lists the stored entries of one account, oldest first, with their total size in bytes.
 type accountEntries struct {
 	order list.List
 	bytes int
 }
 
-// Table holds the keys issued by one gateway incarnation. A key is issued, running, done with a stored result, or done
-// with its result evicted. It never returns to an earlier state.
+// Table holds the keys issued by one gateway incarnation. A key is issued, then running, then done with a stored
+// result, then done with its result evicted. It never returns to an earlier state.
 type Table struct {
 	owner  Owner
 	signer *signer
 	limits Limits
 	// next is the sequence number of the next key.
 	next uint64
-	// used holds the sequence numbers that were begun, or whose right to run was withdrawn.
+	// used holds the sequence numbers of keys that were begun or have become unusable.
 	used    IntervalSet
 	entries map[uint64]*entry
-	// order lists stored entries, oldest first.
-	order  *list.List
+	// order lists the stored entries, oldest first.
+	order *list.List
+	// stored is the total size of the stored entries in bytes.
 	stored int
 	// storedBy holds the stored entries of each account.
 	storedBy map[string]*accountEntries
@@ -125,7 +129,7 @@
 	allowReuse bool
 }
 
-// NewTable returns an empty table. The secret must be random and must not outlive the incarnation.
+// NewTable returns an empty table. The secret must be random and must not be used beyond the incarnation.
 func NewTable(owner Owner, secret []byte, limits Limits) *Table {
 	return &Table{
 		owner:    owner,
@@ -138,7 +142,8 @@
 	}
 }
 
-// UnsafeAllowReuse lets ended keys run again. Only tests call it, to show that their checks need the record of used keys.
+// UnsafeAllowReuse lets the requests of finished keys run again. Only tests call it, to show that their checks detect a
+// missing record of used keys.
 func (t *Table) UnsafeAllowReuse() { t.allowReuse = true }
 
 // Issue returns a new key for the account.
@@ -151,9 +156,9 @@
 // Owns reports whether this incarnation issued the key.
 func (t *Table) Owns(key Key) bool { return key.Owner == t.owner }
 
-// Begin decides what happens to a request with the key. A key of another incarnation, a wrong MAC and a key used with
-// another content give an error and change nothing; outcomeOnError, empty without an error, is what the caller may be told
-// then.
+// Begin decides what to do with a request that has the key. It returns an error and changes nothing if another
+// incarnation issued the key (kind Unknown), the key was not issued to the account (Forbidden) or the key was used with
+// other content (Conflict). outcomeOnError is the outcome of the request in these cases; it is empty without an error.
 func (t *Table) Begin(account string, key Key, content Fingerprint) (d Decision, outcomeOnError Outcome, err error) {
 	if !t.Owns(key) {
 		return Decision{}, Unknown, errkind.New(errkind.Unknown, "ask the service whether the request ran",
@@ -169,10 +174,10 @@
 		known = false
 	}
 	if known {
-		return t.repeat(e, content)
+		return t.decideRepeat(e, content)
 	}
 	if t.used.Contains(key.Sequence) && !t.allowReuse {
-		return Decision{Action: Replay, Result: evicted()}, "", nil
+		return Decision{Action: Replay, Result: evictedResult()}, "", nil
 	}
 	t.markUsed(key.Sequence)
 	e = &entry{sequence: key.Sequence, account: account, fingerprint: content}
@@ -180,11 +185,11 @@
 	return Decision{Action: Run, Attempts: &e.attempts}, "", nil
 }
 
-// repeat decides about a key that is running or whose result is stored.
-func (t *Table) repeat(e *entry, content Fingerprint) (Decision, Outcome, error) {
+// decideRepeat returns the decision of Begin for a key that is running or whose result is stored.
+func (t *Table) decideRepeat(e *entry, content Fingerprint) (Decision, Outcome, error) {
 	if e.fingerprint != content {
-		// The first content may have run under this key. A caller whose retry differs by accident must not take this
-		// for a permission to send the request again under a new key.
+		// The request with the first content may have run. A caller whose retry differs by accident must not conclude
+		// that it is safe to send the request again under a new key.
 		outcome := Unknown
 		if e.done && e.result.Outcome == NotRun {
 			outcome = NotRun
@@ -198,13 +203,13 @@
 	return Decision{Action: Replay, Result: e.result}, "", nil
 }
 
-// evicted is the result of a key that was used and of which no more is known.
-func evicted() Result {
+// evictedResult returns the result of a key that is used and has no stored result.
+func evictedResult() Result {
 	return Result{Outcome: Unknown, Err: errkind.New(errkind.Unknown, "ask the service whether the request ran",
 		"the key was used and its result is no longer stored")}
 }
 
-// markUsed records that the key can never be begun again.
+// markUsed records that the key must never be begun again. It closes the oldest gaps above Limits.Gaps.
 func (t *Table) markUsed(sequence uint64) {
 	t.used.Add(sequence)
 	for t.used.Len() > t.limits.Gaps {
@@ -212,8 +217,9 @@
 	}
 }
 
-// Finish ends a running key and stores its result under the byte budget. A request that ended as NotRun never runs
-// under its key: a delayed copy of it could otherwise run after the caller was told that it did not.
+// Finish stores the result of a running key and evicts old results above the limits. It does nothing if the key is not
+// running. A key that finished as NotRun stays used: a delayed copy of the request could otherwise run after the caller
+// was told that it did not run.
 func (t *Table) Finish(sequence uint64, result Result) {
 	e, ok := t.entries[sequence]
 	if !ok || e.done {
@@ -238,7 +244,7 @@
 	t.evict(own)
 }
 
-// evict removes the oldest results until the account's and the whole budget are kept.
+// evict removes the oldest results until the limits of the account and of the table are met.
 func (t *Table) evict(own *accountEntries) {
 	for own.bytes > t.limits.StoredBytesPerAccount {
 		t.remove(own.order.Front().Value.(*entry))
@@ -248,7 +254,7 @@
 	}
 }
 
-// remove forgets a stored result. Its sequence number stays used.
+// remove removes a stored result. Its key stays used.
 func (t *Table) remove(e *entry) {
 	t.order.Remove(e.stored)
 	t.stored -= e.size
@@ -261,37 +267,40 @@
 	delete(t.entries, e.sequence)
 }
 
-// Size returns the number of running or stored keys, the stored bytes and the ranges of used sequence numbers.
+// Size returns the number of keys that are running or have a stored result, the size of the stored results in bytes,
+// and the number of ranges of used sequence numbers.
 func (t *Table) Size() (entries, storedBytes, ranges int) {
 	return len(t.entries), t.stored, t.used.Len()
 }
 
-// Attempts follows the dispatches of one request. The zero value is a request that was not dispatched. It is not safe for
-// concurrent use and needs no lock of the Table.
+// Attempts tracks the attempts to dispatch one request. The zero value is a request that was not dispatched. It is not
+// safe for concurrent use, but can be used without synchronization with its Table.
 type Attempts struct {
-	// Repeatable is set for idempotent requests, which may be dispatched again after an attempt without a response.
-	Repeatable bool
-	// pending is true from a dispatch until it is known that no byte of it was written or that it did not run.
-	pending bool
-	// earlier is true if an attempt before the last one may have run.
-	earlier bool
+	// Idempotent is set for idempotent requests, which may be dispatched again after an attempt without a response.
+	Idempotent bool
+	// lastMayHaveRun is true from the last dispatch until it is known that no byte was written or that the request did
+	// not run.
+	lastMayHaveRun bool
+	// earlierMayHaveRun is true if an attempt before the last one may have run.
+	earlierMayHaveRun bool
 }
 
-// Dispatch records that a write to an endpoint is about to start.
+// Dispatch records that a write to an endpoint is about to start. It asserts that a request that may have run is not
+// dispatched again, unless it is idempotent.
 func (a *Attempts) Dispatch() {
-	invariant.Check(a.Repeatable || !a.MayHaveRun(), invariant.AtMostOnce,
+	invariant.Check(a.Idempotent || !a.MayHaveRun(), invariant.AtMostOnce,
 		"request is dispatched again after an attempt that may have run")
-	a.earlier = a.earlier || a.pending
-	a.pending = true
+	a.earlierMayHaveRun = a.earlierMayHaveRun || a.lastMayHaveRun
+	a.lastMayHaveRun = true
 }
 
-// NotRun records that the last attempt wrote no byte or that the endpoint stated that it did not run.
-func (a *Attempts) NotRun() { a.pending = false }
+// NotRun records that the last attempt wrote no byte or that the endpoint stated that the request did not run.
+func (a *Attempts) NotRun() { a.lastMayHaveRun = false }
 
-// MayHaveRun reports whether any attempt so far may have run.
-func (a *Attempts) MayHaveRun() bool { return a.pending || a.earlier }
+// MayHaveRun reports whether the request may have run in any attempt so far.
+func (a *Attempts) MayHaveRun() bool { return a.lastMayHaveRun || a.earlierMayHaveRun }
 
-// CheckOutcome asserts that the outcome agrees with the attempts.
+// CheckOutcome asserts that the outcome is consistent with the attempts.
 func (a *Attempts) CheckOutcome(outcome Outcome) {
 	invariant.Check(outcome != NotRun || !a.MayHaveRun(), invariant.NotRunIsTrue,
 		"outcome is not_run after an attempt that may have run")
--- a/request/table_test.go
+++ b/request/table_test.go
@@ -9,14 +9,14 @@
 	"github.com/redwingthread/redwingthread/invariant"
 )
 
-// TestIntervalSet guards against a used sequence number that is forgotten, which would let a key run twice.
+// TestIntervalSet guards against an IntervalSet that loses a used sequence number, which would let a key run twice.
 func TestIntervalSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var set IntervalSet
 		model := map[uint64]bool{}
 		for _, n := range rapid.SliceOf(rapid.Uint64Range(0, 60)).Draw(t, "numbers") {
 			if set.Add(n) == model[n] {
-				t.Fatalf("Add(%d) is wrong about its presence", n)
+				t.Fatalf("Add(%d) returned the wrong result", n)
 			}
 			model[n] = true
 		}
@@ -43,7 +43,8 @@
 
 var testOwner = Owner{FailureDomain: "fd/a", VM: "vm-1", Incarnation: "i-1"}
 
-// TestKeyText guards against keys that change on their way through a caller, and malformed ones that are accepted.
+// TestKeyText guards against keys that change when they are formatted and parsed, and against malformed keys that are
+// accepted.
 func TestKeyText(t *testing.T) {
 	key := NewTable(testOwner, []byte("secret"), DefaultLimits()).Issue("orders")
 	parsed, err := Parse(key.String())
@@ -60,7 +61,7 @@
 	}
 }
 
-// TestBegin guards against a key that runs twice, for another account, or with another content.
+// TestBegin guards against a key that runs twice, for another account, or with other content.
 func TestBegin(t *testing.T) {
 	content := Fingerprint{Method: "POST", Path: "scan/x"}
 	other := Fingerprint{Method: "POST", Path: "scan/y"}
@@ -123,7 +124,8 @@
 	}
 }
 
-// TestForeignKey guards against a gateway that runs a key of another incarnation, which it cannot know to be unused.
+// TestForeignKey guards against a gateway that runs a key of another incarnation, although it cannot know whether the
+// key was used.
 func TestForeignKey(t *testing.T) {
 	table := NewTable(testOwner, []byte("secret"), DefaultLimits())
 	foreign := NewTable(Owner{"fd/a", "vm-1", "i-0"}, []byte("secret"), DefaultLimits()).Issue("orders")
@@ -132,7 +134,7 @@
 	}
 }
 
-// TestAttempts guards against assertions that would not notice a second run or a false not_run.
+// TestAttempts guards against assertions that do not detect a second run or a false not_run.
 func TestAttempts(t *testing.T) {
 	cases := map[string]struct {
 		act  func(a *Attempts)
@@ -143,9 +145,9 @@
 		"not run":               {func(a *Attempts) { a.Dispatch(); a.NotRun(); a.CheckOutcome(NotRun) }, ""},
 		"second run":            {func(a *Attempts) { a.Dispatch(); a.Dispatch() }, invariant.AtMostOnce},
 		"false not_run":         {func(a *Attempts) { a.Dispatch(); a.CheckOutcome(NotRun) }, invariant.NotRunIsTrue},
-		"repeatable second run": {func(a *Attempts) { a.Repeatable = true; a.Dispatch(); a.Dispatch() }, ""},
+		"idempotent second run": {func(a *Attempts) { a.Idempotent = true; a.Dispatch(); a.Dispatch() }, ""},
 		"earlier attempt may have run": {func(a *Attempts) {
-			a.Repeatable = true
+			a.Idempotent = true
 			a.Dispatch()
 			a.Dispatch()
 			a.NotRun()
