--- a/admission/budget.go
+++ b/admission/budget.go
@@ -1,35 +1,37 @@
 package admission
 
-// Retry budget of an account without a setting of its own, as a share of its first attempts in percent, and the retries
-// that an account may save up. The reserve lets an account with few requests retry at all.
 const (
+	// DefaultRetryPercent is the retry budget, in percent of its first attempts, of an account that configures none.
 	DefaultRetryPercent = 10
-	retryReserve        = 10
+	// maxSavedRetries is the number of retries that an account starts with and can save up. It lets accounts with few
+	// requests retry at all.
+	maxSavedRetries = 10
 )
 
-// Budgets holds the retry budgets of the client accounts. Without a bound, retries multiply the load exactly when
-// endpoints are short of capacity.
+// Budgets holds the retry budgets of the client accounts. Without a limit, retries would multiply the load just when
+// endpoints are overloaded.
 type Budgets struct {
 	tokens map[string]float64
 }
 
-// NewBudgets returns full budgets.
+// NewBudgets returns budgets that are full for every account.
 func NewBudgets() *Budgets { return &Budgets{tokens: map[string]float64{}} }
 
-// balance returns the retries that the account has left.
+// balance returns the number of retries that the account has left.
 func (b *Budgets) balance(account string) float64 {
 	if tokens, ok := b.tokens[account]; ok {
 		return tokens
 	}
-	return retryReserve
+	return maxSavedRetries
 }
 
-// First counts a first attempt of the account, which earns it percent/100 of a retry; 0 stands for the default.
+// First counts a first attempt of the account, which adds percent/100 of a retry to its budget. A percent of 0 or less
+// stands for DefaultRetryPercent.
 func (b *Budgets) First(account string, percent int) {
 	if percent <= 0 {
 		percent = DefaultRetryPercent
 	}
-	b.tokens[account] = min(retryReserve, b.balance(account)+float64(percent)/100)
+	b.tokens[account] = min(maxSavedRetries, b.balance(account)+float64(percent)/100)
 }
 
 // Retry takes one retry from the account's budget and reports whether there was one.
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// rateWindow is the length of one window of a rate estimate. The estimate covers the last one to two windows.
+// rateWindow is the length of a window of a rate estimate. An estimate covers the last one to two windows.
 const rateWindow = 500 * time.Millisecond
 
-// rate estimates events per second over two adjoining windows.
+// rate estimates events per second over the previous and the current window.
 type rate struct {
 	start    time.Time
 	current  int
 	previous int
 }
 
-// roll moves the windows up to now.
-func (r *rate) roll(now time.Time) {
+// advance moves the windows forward to now.
+func (r *rate) advance(now time.Time) {
 	elapsed := now.Sub(r.start)
 	switch {
 	case elapsed < rateWindow:
@@ -30,13 +30,13 @@
 
 // add counts one event.
 func (r *rate) add(now time.Time) {
-	r.roll(now)
+	r.advance(now)
 	r.current++
 }
 
-// perSecond returns the estimate, 0 if there is too little to tell.
+// perSecond returns the estimate, 0 if there were no events in the previous window.
 func (r *rate) perSecond(now time.Time) float64 {
-	r.roll(now)
+	r.advance(now)
 	if r.previous == 0 {
 		return 0
 	}
@@ -44,17 +44,17 @@
 	return float64(r.previous+r.current) / covered.Seconds()
 }
 
-// averageWeight is the share of a new sample in an average.
+// averageWeight is the weight of a new sample in an average.
 const averageWeight = 0.05
 
-// average is an exponentially weighted mean of service times with a lower envelope.
+// average is an exponentially weighted moving average of service times with a lower envelope, low.
 type average struct {
 	value time.Duration
 	low   time.Duration
 	set   bool
 }
 
-// add takes in a sample.
+// add adds a sample.
 func (a *average) add(sample time.Duration) {
 	if !a.set {
 		a.value, a.low, a.set = sample, sample, true
@@ -65,12 +65,12 @@
 		a.low = sample
 		return
 	}
-	// The envelope rises slowly, so that one short service time does not hold for good.
+	// The envelope rises slowly, so that a single short service time does not hold it down forever.
 	a.low += time.Duration(averageWeight / 10 * float64(sample-a.low))
 }
 
-// mean returns the average, 0 without a sample.
+// mean returns the average, 0 if there are no samples.
 func (a *average) mean() time.Duration { return a.value }
 
-// minimum returns a service time that nearly all requests need at least, 0 without a sample.
+// minimum returns a service time that nearly all requests take at least, 0 if there are no samples.
 func (a *average) minimum() time.Duration { return a.low }
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/redwingthread/redwingthread/admission"
 )
 
-// Accounts with waiting requests are served in proportion to their weights, whoever came first.
+// Accounts with waiting requests are served in proportion to their weights, regardless of the order of arrival.
 func ExampleQueue() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	weights := map[string]int{"orders": 2, "scan": 1}
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -1,6 +1,6 @@
-// Package admission decides which requests wait, in what order they are dispatched, and which are refused.
+// Package admission decides which requests wait, in what order they are dispatched, and which are rejected.
 //
-// The package is pure: it has no I/O, clock or goroutines. Its types are not safe for concurrent use.
+// The package does no I/O, reads no clock and starts no goroutines. Its types are not safe for concurrent use.
 package admission
 
 import (
@@ -9,17 +9,17 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// Limits bounds a Queue.
+// Limits holds the limits of a Queue.
 type Limits struct {
-	// Queued bounds the waiting requests of all accounts together.
+	// Queued is the maximum number of waiting requests of all accounts.
 	Queued int
-	// QueuedPerAccount bounds the waiting requests of one account.
+	// QueuedPerAccount is the maximum number of waiting requests of one account.
 	QueuedPerAccount int
-	// WaitPercent is the share of the time to a request's deadline that it is expected to wait at most, if its account has
-	// the longest queue for its weight. The rest is kept for errors of the estimate.
+	// WaitPercent is the maximum expected wait of a request, in percent of the time until its deadline, if its account
+	// has the longest queue relative to its weight. The rest is a margin for errors of the estimate.
 	WaitPercent int
-	// ShortWaitPercent is the same share for the other accounts. Their queues are short and drain by themselves, so that
-	// refusing them early gains little.
+	// ShortWaitPercent is the same for the other accounts. Their queues are short and drain by themselves, so rejecting
+	// their requests early gains little.
 	ShortWaitPercent int
 }
 
@@ -28,13 +28,14 @@
 	return Limits{Queued: 4096, QueuedPerAccount: 2048, WaitPercent: 50, ShortWaitPercent: 90}
 }
 
-// Item is one waiting request. It can be offered once.
+// Item is a request to be queued. It can be offered only once.
 type Item[T any] struct {
 	Account  string
 	Deadline time.Time
 	Value    T
-	// removed marks an item whose owner gave up; it is skipped.
+	// removed is true if the item was removed while it was waiting; it is then skipped.
 	removed bool
+	// queued is true while the item is waiting.
 	queued  bool
 	account *account[T]
 }
@@ -43,24 +44,27 @@
 type account[T any] struct {
 	name   string
 	weight float64
-	items  []*Item[T]
-	head   int
-	live   int
-	// finish is the virtual time at which the account's last dispatched request counts as served.
+	// items holds the items from index head on, oldest first, including removed ones.
+	items []*Item[T]
+	head  int
+	// waiting is the number of waiting requests of the account.
+	waiting int
+	// finish is the virtual finish time of the account's last dispatched request.
 	finish float64
 }
 
-// Queue is a bounded queue that is fair between client accounts by weight (start-time fair queueing with equal cost per
-// request). There is one for each service. Its owner must answer every request that Offer refuses or pushes out and that
-// Next drops.
+// Queue is a bounded queue that shares capacity between client accounts by weight (start-time fair queueing with equal
+// cost per request). Each service has its own queue. The caller must respond to every request that Offer rejects or
+// evicts and that Next drops.
 type Queue[T any] struct {
 	limits   Limits
 	weights  func(account string) int
 	accounts map[string]*account[T]
 	// active lists the accounts with waiting requests.
 	active []*account[T]
-	live   int
-	// virtual is the virtual time of the last dispatched request.
+	// waiting is the number of waiting requests of all accounts.
+	waiting int
+	// virtual is the virtual start time of the last dispatched request.
 	virtual float64
 	rate    rate
 	service average
@@ -68,19 +72,22 @@
 	unbounded bool
 }
 
-// NewQueue returns an empty queue. weights gives the weight of an account; values under 1 count as 1.
+// NewQueue returns an empty queue. weights returns the weight of an account; values below 1 count as 1.
 func NewQueue[T any](limits Limits, weights func(account string) int) *Queue[T] {
 	return &Queue[T]{limits: limits, weights: weights, accounts: map[string]*account[T]{}}
 }
 
-// UnsafeUnbounded switches fairness, bounds and shedding off. Only tests call it, to show that their checks need them.
+// UnsafeUnbounded disables fairness, limits and load shedding. Only tests call it, to show that their checks detect the
+// missing rules.
 func (q *Queue[T]) UnsafeUnbounded() { q.unbounded = true }
 
 const overloadRemedy = "retry later with backoff, or with a longer Request-Timeout-Ms"
 
-// Offer adds a request to its account's queue. It returns the request that had to leave for it, if any, and an error if
-// the request itself is refused: it cannot meet its deadline, or the queue of its account is full.
-func (q *Queue[T]) Offer(item *Item[T], now time.Time) (pushedOut *Item[T], err error) {
+// Offer adds a request to the queue of its account. If the queue is full, it may evict a waiting request of the account
+// with the longest queue relative to its weight and returns that request. Offer returns an error and does not queue the
+// request if its deadline has passed (kind DeadlineExceeded), if its expected wait is too long or the queue is full
+// (Overloaded), or if the item was offered before (Internal).
+func (q *Queue[T]) Offer(item *Item[T], now time.Time) (evicted *Item[T], err error) {
 	if !item.Deadline.After(now) {
 		return nil, errkind.New(errkind.DeadlineExceeded, "send the request with a longer Request-Timeout-Ms",
 			"deadline passed before the request was queued")
@@ -93,27 +100,27 @@
 		q.push(a, item)
 		return nil, nil
 	}
-	if a.live >= q.limits.QueuedPerAccount {
-		return nil, errkind.New(errkind.Overloaded, overloadRemedy, "account %s has %d requests queued", a.name, a.live)
+	if a.waiting >= q.limits.QueuedPerAccount {
+		return nil, errkind.New(errkind.Overloaded, overloadRemedy, "account %s has %d requests queued", a.name, a.waiting)
 	}
 	if wait, bound := q.expectedWait(a, now), q.waitBound(a, item, now); wait > bound {
 		return nil, errkind.New(errkind.Overloaded, overloadRemedy,
-			"expected wait of %s is above the %s that the deadline leaves", wait.Round(time.Millisecond),
+			"expected wait of %s exceeds the %s that the deadline allows", wait.Round(time.Millisecond),
 			bound.Round(time.Millisecond))
 	}
-	if q.live >= q.limits.Queued {
+	if q.waiting >= q.limits.Queued {
 		longest := q.longest()
-		if longest == nil || longest == a || float64(longest.live)/longest.weight <= float64(a.live+1)/a.weight {
-			return nil, errkind.New(errkind.Overloaded, overloadRemedy, "%d requests are queued", q.live)
+		if longest == nil || longest == a || float64(longest.waiting)/longest.weight <= float64(a.waiting+1)/a.weight {
+			return nil, errkind.New(errkind.Overloaded, overloadRemedy, "%d requests are queued", q.waiting)
 		}
-		pushedOut = longest.last()
-		q.Remove(pushedOut)
+		evicted = longest.last()
+		q.Remove(evicted)
 	}
 	q.push(a, item)
-	return pushedOut, nil
+	return evicted, nil
 }
 
-// account returns the queue of an account and brings its weight up to date.
+// account returns the queue of an account, creating it if needed, and updates its weight.
 func (q *Queue[T]) account(name string) *account[T] {
 	a, ok := q.accounts[name]
 	if !ok {
@@ -124,37 +131,39 @@
 	return a
 }
 
-// push appends the item to the account's queue.
+// push appends an item to the queue of an account.
 func (q *Queue[T]) push(a *account[T], item *Item[T]) {
 	item.account = a
 	item.queued = true
-	if a.live == 0 {
+	if a.waiting == 0 {
 		q.active = append(q.active, a)
 		a.items, a.head = a.items[:0], 0
-		// An account that was idle gets no credit for it.
+		// An account gets no credit for the time in which it was idle.
 		a.finish = max(a.finish, q.virtual)
 	}
 	a.items = append(a.items, item)
-	a.live++
-	q.live++
+	a.waiting++
+	q.waiting++
 }
 
-// Remove takes a waiting request out, for example because its caller went away. It reports whether it was waiting.
+// Remove removes a waiting request, for example because its caller disconnected. It reports whether the request was
+// waiting.
 func (q *Queue[T]) Remove(item *Item[T]) bool {
 	if !item.queued {
 		return false
 	}
 	item.queued = false
 	item.removed = true
-	q.forget(item.account)
+	q.countRemoved(item.account)
 	return true
 }
 
-// forget counts one waiting request less and drops an account without any from the active ones.
-func (q *Queue[T]) forget(a *account[T]) {
-	a.live--
-	q.live--
-	if a.live > 0 {
+// countRemoved updates the counts after a waiting request of the account was taken out. An account without waiting
+// requests becomes inactive.
+func (q *Queue[T]) countRemoved(a *account[T]) {
+	a.waiting--
+	q.waiting--
+	if a.waiting > 0 {
 		return
 	}
 	for i, other := range q.active {
@@ -165,11 +174,12 @@
 	}
 }
 
-// Next takes out the request to be dispatched now, nil if none waits or if accept refuses the one that is due, which
-// then stays. accept is called at most once for each request that is taken out. Requests that can no longer meet their deadline are taken out on the way and returned in dropped.
+// Next removes and returns the request to be dispatched now. It returns nil if no request is waiting, or if accept
+// returns false for the next one, which then stays. accept is called at most once for each request that is removed.
+// Requests that can no longer meet their deadline are removed on the way and returned in dropped.
 func (q *Queue[T]) Next(now time.Time, accept func(*Item[T]) bool) (next *Item[T], dropped []*Item[T]) {
-	for q.live > 0 {
-		a := q.pick()
+	for q.waiting > 0 {
+		a := q.furthestBehind()
 		item := a.first()
 		late := !q.unbounded && now.Add(q.service.minimum()).After(item.Deadline)
 		if !late && !accept(item) {
@@ -177,7 +187,7 @@
 		}
 		item.queued = false
 		a.head++
-		q.forget(a)
+		q.countRemoved(a)
 		if late {
 			dropped = append(dropped, item)
 			continue
@@ -190,8 +200,8 @@
 	return nil, dropped
 }
 
-// pick returns the active account that is furthest behind its share.
-func (q *Queue[T]) pick() *account[T] {
+// furthestBehind returns the active account with the lowest virtual time, that is, the one furthest behind its share.
+func (q *Queue[T]) furthestBehind() *account[T] {
 	best := q.active[0]
 	if q.unbounded {
 		return best
@@ -225,28 +235,28 @@
 	return a.items[i]
 }
 
-// longest returns the account with the most waiting requests for its weight, nil if none waits.
+// longest returns the account with the most waiting requests relative to its weight, nil if no request is waiting.
 func (q *Queue[T]) longest() *account[T] {
 	var longest *account[T]
 	for _, a := range q.active {
-		if longest == nil || float64(a.live)/a.weight > float64(longest.live)/longest.weight {
+		if longest == nil || float64(a.waiting)/a.weight > float64(longest.waiting)/longest.weight {
 			longest = a
 		}
 	}
 	return longest
 }
 
-// Served reports the service time of a request that was dispatched and completed.
+// Served records the service time of a completed request.
 func (q *Queue[T]) Served(took time.Duration) { q.service.add(took) }
 
 // Len returns the number of waiting requests.
-func (q *Queue[T]) Len() int { return q.live }
+func (q *Queue[T]) Len() int { return q.waiting }
 
-// expectedWait estimates how long a new request of the account waits: the requests of the account ahead of it, at the
-// account's share of the recent dispatch rate.
+// expectedWait estimates how long a new request of the account will wait, from the number of the account's requests
+// ahead of it and the account's share of the recent dispatch rate.
 func (q *Queue[T]) expectedWait(a *account[T], now time.Time) time.Duration {
 	perSecond := q.rate.perSecond(now)
-	if perSecond <= 0 || a.live == 0 {
+	if perSecond <= 0 || a.waiting == 0 {
 		return 0
 	}
 	weights := 0.0
@@ -254,10 +264,10 @@
 		weights += other.weight
 	}
 	share := perSecond * a.weight / weights
-	return time.Duration(float64(a.live+1) / share * float64(time.Second))
+	return time.Duration(float64(a.waiting+1) / share * float64(time.Second))
 }
 
-// waitBound returns how long the request may be expected to wait.
+// waitBound returns the maximum expected wait with which the request is queued.
 func (q *Queue[T]) waitBound(a *account[T], item *Item[T], now time.Time) time.Duration {
 	percent := q.limits.ShortWaitPercent
 	if longest := q.longest(); longest == nil || longest == a {
@@ -267,5 +277,5 @@
 	return left * time.Duration(percent) / 100
 }
 
-// ServiceTime returns the mean service time, 0 if none was reported.
+// ServiceTime returns the mean service time, 0 if none was recorded.
 func (q *Queue[T]) ServiceTime() time.Duration { return q.service.mean() }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -15,7 +15,7 @@
 	return &Item[int]{Account: account, Deadline: start.Add(deadline)}
 }
 
-// TestFairness guards against one account's requests keeping those of others waiting beyond their share by weight.
+// TestFairness guards against an account that gets more than its share by weight at the expense of others.
 func TestFairness(t *testing.T) {
 	weights := map[string]int{"a": 1, "b": 3}
 	for _, unfair := range []bool{false, true} {
@@ -41,30 +41,32 @@
 	}
 }
 
-// TestBounds guards against queues that grow without bound, and against a flood that fills the queue for others.
+// TestBounds guards against queues that grow without limit, and against an account that fills the queue and keeps the
+// requests of others out.
 func TestBounds(t *testing.T) {
 	q := NewQueue[int](Limits{Queued: 10, QueuedPerAccount: 8, WaitPercent: 50, ShortWaitPercent: 90}, func(string) int { return 1 })
-	refused, pushedOut := 0, 0
+	rejected, evicted := 0, 0
 	for _, account := range []string{"flood", "a"} {
 		for range 12 {
 			out, err := q.Offer(item(account, time.Hour), start)
 			if errkind.Is(err, errkind.Overloaded) {
-				refused++
+				rejected++
 			}
 			if out != nil {
-				pushedOut++
+				evicted++
 				if out.Account != "flood" {
-					t.Errorf("request of %s was pushed out", out.Account)
+					t.Errorf("request of %s was evicted", out.Account)
 				}
 			}
 		}
 	}
-	if q.Len() != 10 || refused != 11 || pushedOut != 3 {
-		t.Errorf("got %d waiting, %d refused, %d pushed out", q.Len(), refused, pushedOut)
+	if q.Len() != 10 || rejected != 11 || evicted != 3 {
+		t.Errorf("got %d waiting, %d rejected, %d evicted", q.Len(), rejected, evicted)
 	}
 }
 
-// TestDeadlines guards against work past its deadline, queued or dispatched, and against waits that cannot be met.
+// TestDeadlines guards against requests that are queued or dispatched although they can no longer meet their deadline,
+// and against requests that are queued although their expected wait is too long.
 func TestDeadlines(t *testing.T) {
 	q := NewQueue[int](DefaultLimits(), func(string) int { return 1 })
 	if _, err := q.Offer(item("a", 0), start); !errkind.Is(err, errkind.DeadlineExceeded) {
@@ -77,7 +79,7 @@
 	if len(dropped) != 1 || next == nil || q.Len() != 0 {
 		t.Errorf("got %v, dropped %d", next, len(dropped))
 	}
-	// 10 requests per second were dispatched, so that 20 waiting ones take 2 s.
+	// Requests are dispatched at 10 per second, so 20 waiting ones take 2 s.
 	now := start
 	for range 20 {
 		q.Offer(item("a", time.Hour), now)
@@ -91,15 +93,15 @@
 	if _, err := q.Offer(soon, now); !errkind.Is(err, errkind.Overloaded) {
 		t.Errorf("request that must wait too long got %v", err)
 	}
-	// Another account has half of the rate for itself.
+	// Another account gets half of the rate.
 	other := &Item[int]{Account: "b", Deadline: now.Add(2 * time.Second)}
 	if _, err := q.Offer(other, now); err != nil {
 		t.Errorf("request of an account without backlog got %v", err)
 	}
 }
 
-// TestRefusedStays guards against a request that is lost when no slot is free for it.
-func TestRefusedStays(t *testing.T) {
+// TestUnacceptedRequestStays guards against a request that is lost when no slot is free for it.
+func TestUnacceptedRequestStays(t *testing.T) {
 	q := NewQueue[int](DefaultLimits(), func(string) int { return 1 })
 	first := item("a", time.Hour)
 	q.Offer(first, start)
@@ -114,7 +116,8 @@
 	}
 }
 
-// TestBudget guards against retries that multiply the load, and against accounts that can never retry.
+// TestBudget guards against retries beyond the budget, which would multiply the load, and against accounts that can
+// never retry.
 func TestBudget(t *testing.T) {
 	b := NewBudgets()
 	retries := 0
@@ -124,7 +127,7 @@
 			retries++
 		}
 	}
-	if retries < 200 || retries > 200+retryReserve {
+	if retries < 200 || retries > 200+maxSavedRetries {
 		t.Errorf("%d retries for 1000 first attempts at 20%%", retries)
 	}
 	if !b.Retry("b") {
@@ -132,15 +135,16 @@
 	}
 }
 
-// TestItemIsOfferedOnce guards against a withdrawn request that is queued again, which broke the queue of its account.
+// TestItemIsOfferedOnce guards against a removed item that is queued again, which would corrupt the queue of its
+// account.
 func TestItemIsOfferedOnce(t *testing.T) {
 	q := NewQueue[int](DefaultLimits(), func(string) int { return 1 })
-	withdrawn := item("a", time.Minute)
-	if _, err := q.Offer(withdrawn, start); err != nil {
+	removed := item("a", time.Minute)
+	if _, err := q.Offer(removed, start); err != nil {
 		t.Fatal(err)
 	}
-	q.Remove(withdrawn)
-	if _, err := q.Offer(withdrawn, start); !errkind.Is(err, errkind.Internal) {
+	q.Remove(removed)
+	if _, err := q.Offer(removed, start); !errkind.Is(err, errkind.Internal) {
 		t.Fatalf("second offer gave %v", err)
 	}
 	if next, _ := q.Next(start, accept); next != nil {
