--- a/endpoint/conn_linux.go
+++ b/endpoint/conn_linux.go
@@ -5,9 +5,10 @@
 	"syscall"
 )
 
-// quiet reports whether an idle connection is open and has nothing to read. Data or an end of stream on an idle
-// connection belongs to no exchange of ours. Connections that are not sockets count as quiet.
-func quiet(conn net.Conn) bool {
+// isIntact reports whether an idle connection is open and has no data to read. Data or an end of stream on an idle
+// connection does not belong to any exchange, so such a connection must not be reused. Connections that are not sockets
+// count as intact.
+func isIntact(conn net.Conn) bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -16,12 +17,12 @@
 	if err != nil {
 		return false
 	}
-	isQuiet := false
+	intact := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		isQuiet = err == syscall.EAGAIN
+		intact = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && isQuiet
+	return err == nil && intact
 }
--- a/endpoint/conn_other.go
+++ b/endpoint/conn_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// quiet cannot look into a connection here; a stale one shows in its next exchange.
-func quiet(net.Conn) bool { return true }
+// isIntact always returns true on this platform: a stale connection is only detected in its next exchange.
+func isIntact(net.Conn) bool { return true }
--- a/endpoint/exchange.go
+++ b/endpoint/exchange.go
@@ -28,98 +28,101 @@
 	outcomeNotRun     = "not_run"
 )
 
-// Request is one attempt.
+// Request describes one attempt to send a request to an endpoint.
 type Request struct {
-	// ID is the request id that the endpoint must echo. Each attempt has its own, so that the response of an earlier
-	// attempt is not taken for that of a later one.
+	// ID is the request id that the endpoint must echo. It must be unique for each attempt, so that the response to an
+	// earlier attempt is not taken for that to a later one.
 	ID     string
 	Method string
 	// Path is the escaped path with the query, starting with a slash.
 	Path string
-	// Header holds the end-to-end header fields. Attempt takes it over and adds the fields of the contract.
+	// Header holds the end-to-end header fields. Attempt modifies it by adding the fields of the endpoint contract.
 	Header http.Header
 	Body   []byte
-	// Deadline is the caller's deadline; it is told to the endpoint.
+	// Deadline is the caller's deadline. It is sent to the endpoint as the remaining time.
 	Deadline time.Time
-	// Timeout bounds the exchange.
+	// Timeout is the maximum duration of the exchange.
 	Timeout time.Duration
-	// BufferBytes is the size up to which the response's body is buffered. Larger bodies are streamed; 0 buffers none.
+	// BufferBytes is the maximum size of a response body that is buffered. Larger bodies are streamed; 0 buffers none.
 	BufferBytes int64
-	// Fresh asks for a new connection.
-	Fresh bool
-	// BeforeWrite is called once right before the first byte may be written. An error ends the attempt unwritten.
+	// NewConnection requires a new connection.
+	NewConnection bool
+	// BeforeWrite is called right before the first byte is written. If it returns an error, the attempt ends and
+	// nothing is written.
 	BeforeWrite func() error
 }
 
-// Failure says why an attempt has no response.
+// Failure is the reason why an attempt has no response.
 type Failure int
 
 // The failures.
 const (
 	// NoFailure marks an attempt with a response.
 	NoFailure Failure = iota
-	// Busy means that the bound of connections left none.
+	// Busy means that all connections allowed to the endpoint were in use, or that the pools were closed.
 	Busy
 	// NoConnection means that no connection could be opened.
 	NoConnection
-	// Timeout means that the exchange exceeded its time.
+	// Timeout means that the exchange exceeded its timeout or deadline.
 	Timeout
-	// Broken means that the connection failed.
+	// Broken means that the connection failed during the exchange.
 	Broken
-	// Invalid means that the response was not whole or not that of the request.
+	// Invalid means that the response did not belong to the request or failed another check.
 	Invalid
-	// Withheld means that the request itself must not be written, by the word of BeforeWrite or by its form.
-	Withheld
+	// NotSent means that the request was not written because BeforeWrite returned an error or its path is malformed.
+	NotSent
 )
 
-// Response is a whole response, or the checked start of a large one.
+// Response is a complete response, or the checked header of a streamed one.
 type Response struct {
 	Status int
 	Header http.Header
-	// Body is the whole body unless Stream is set.
+	// Body is the complete body unless Stream is set.
 	Body []byte
-	// Stream is the body of a large response. It must be closed. It returns an error in place of the last bytes if the
-	// body is not whole.
+	// Stream is the body of a streamed response, nil otherwise. It must be closed. If the body is incomplete or
+	// corrupted, it returns an error instead of the last bytes.
 	Stream io.ReadCloser
 	// Length is the length of the body in bytes.
 	Length int64
 }
 
-// Result is what came of an attempt.
+// Result is the result of an attempt.
 type Result struct {
-	// Response is nil if Failure is set.
+	// Response is nil if Failure is not NoFailure.
 	Response *Response
 	Failure  Failure
 	Err      error
 	// Written reports whether any byte of the request may have reached the endpoint.
 	Written bool
-	// NotRun reports the endpoint's statement that the request did not run.
+	// NotRun reports whether the endpoint stated that the request did not run.
 	NotRun bool
-	// Reused reports whether the connection had carried an exchange before.
+	// Reused reports whether the connection had carried an exchange before this one.
 	Reused bool
-	// Inflight is the load that the endpoint reported, -1 without a valid response.
-	Inflight    int
+	// Inflight is the number of exchanges that the endpoint reported, -1 if it reported none.
+	Inflight int
+	// Incarnation and Leaving are what the endpoint reported about itself.
 	Incarnation string
 	Leaving     bool
-	Took        time.Duration
+	// Took is the duration of the attempt, 0 if it ended before the exchange.
+	Took time.Duration
 }
 
-// Attempt makes one attempt at the endpoint of address, with at most maxOpen connections to it. It writes the request at
-// most once.
+// Attempt makes one attempt to send a request to the endpoint at address, with at most maxOpen connections open to it.
+// It writes the request at most once.
 func (p *Pools) Attempt(ctx context.Context, address string, maxOpen int, r *Request) Result {
 	start := time.Now()
 	result := Result{Inflight: -1}
 	pool := p.pool(address)
 	if pool == nil {
-		return fail(result, Busy, errBusy)
+		return withFailure(result, Busy, errBusy)
 	}
-	c, err := pool.get(ctx, maxOpen, r.Fresh)
+	c, err := pool.get(ctx, maxOpen, r.NewConnection)
 	if err != nil {
 		kind := NoConnection
 		if errors.Is(err, errBusy) {
 			kind = Busy
 		}
-		return fail(result, kind, err)
+		return withFailure(result, kind, err)
 	}
 	result.Reused = c.used
 	message, err := buildRequest(address, r)
@@ -128,21 +131,22 @@
 	}
 	if err != nil {
 		pool.putUnused(c)
-		return fail(result, Withheld, err)
+		return withFailure(result, NotSent, err)
 	}
 	result = p.exchange(pool, c, r, message, start, result)
 	result.Took = time.Since(start)
 	return result
 }
 
-// fail returns the result with a failure.
-func fail(result Result, kind Failure, err error) Result {
+// withFailure returns the result with Failure and Err set.
+func withFailure(result Result, kind Failure, err error) Result {
 	result.Failure = kind
 	result.Err = err
 	return result
 }
 
-// exchange writes the request and reads the response on a connection, which it gives back or closes.
+// exchange writes the request and reads the response on a connection. It then returns the connection to the pool or
+// closes it, unless the response is streamed.
 func (p *Pools) exchange(pool *pool, c *conn, r *Request, message *http.Request, start time.Time, result Result) Result {
 	c.written = 0
 	c.SetDeadline(exchangeDeadline(r, start))
@@ -152,19 +156,20 @@
 	}
 	result.Written = c.written > 0
 	if err != nil {
-		return p.broken(pool, c, start, result, err)
+		return p.failExchange(pool, c, start, result, err)
 	}
 	c.limit.N = maxHeaderBytes
 	response, err := http.ReadResponse(c.reader, message)
 	if err != nil {
-		return p.broken(pool, c, start, result, err)
+		return p.failExchange(pool, c, start, result, err)
 	}
-	// The header is read; the body is bounded by its length.
+	// The limit applies to the header only: the body is limited by its length.
 	c.limit.N = 1 << 62
-	return p.receive(pool, c, r, response, start, result)
+	return p.receiveResponse(pool, c, r, response, start, result)
 }
 
-// exchangeDeadline returns the end of the exchange.
+// exchangeDeadline returns the deadline of the exchange: the end of its timeout or the caller's deadline, whichever is
+// earlier.
 func exchangeDeadline(r *Request, start time.Time) time.Time {
 	end := start.Add(r.Timeout)
 	if r.Deadline.Before(end) {
@@ -173,19 +178,19 @@
 	return end
 }
 
-// broken ends an exchange whose connection failed.
-func (p *Pools) broken(pool *pool, c *conn, start time.Time, result Result, err error) Result {
+// failExchange closes the connection of an exchange that failed or timed out and returns the result.
+func (p *Pools) failExchange(pool *pool, c *conn, start time.Time, result Result, err error) Result {
 	pool.discard(c)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		pool.timedOut(start)
-		return fail(result, Timeout, errkind.Wrap(err, errkind.DeadlineExceeded, "see the outcome",
-			"endpoint did not respond in time"))
+		pool.recordTimeout(start)
+		return withFailure(result, Timeout, errkind.Wrap(err, errkind.DeadlineExceeded, "see the outcome",
+			"exchange with the endpoint timed out"))
 	}
-	return fail(result, Broken, errkind.Wrap(err, errkind.Unavailable, "see the outcome",
+	return withFailure(result, Broken, errkind.Wrap(err, errkind.Unavailable, "see the outcome",
 		"connection to the endpoint failed"))
 }
 
-// buildRequest returns the message of an attempt.
+// buildRequest returns the HTTP request of an attempt, with the header fields of the endpoint contract.
 func buildRequest(address string, r *Request) (*http.Request, error) {
 	target, err := url.ParseRequestURI(r.Path)
 	if err != nil {
@@ -199,7 +204,7 @@
 	left := max(0, time.Until(r.Deadline).Milliseconds())
 	header[HeaderDeadline] = []string{strconv.FormatInt(left, 10)}
 	if _, ok := header["User-Agent"]; !ok {
-		// An empty value keeps net/http from adding its own.
+		// An empty value keeps net/http from adding its own User-Agent.
 		header["User-Agent"] = []string{""}
 	}
 	message := &http.Request{
@@ -215,42 +220,43 @@
 	return message, nil
 }
 
-// receive checks the response and reads its body.
-func (p *Pools) receive(pool *pool, c *conn, r *Request, response *http.Response, start time.Time, result Result) Result {
+// receiveResponse checks the response and reads its body, or returns the body as a stream if it is larger than
+// BufferBytes.
+func (p *Pools) receiveResponse(pool *pool, c *conn, r *Request, response *http.Response, start time.Time, result Result) Result {
 	digest, fault := checkHeader(r, response)
-	if fault != nil && !p.trust {
+	if fault != nil && !p.skipChecks {
 		pool.discard(c)
-		return fail(result, Invalid, fault)
+		return withFailure(result, Invalid, fault)
 	}
 	keep := !response.Close
 	hasBody := bodyAllowed(r.Method, response.StatusCode)
 	out := &Response{Status: response.StatusCode, Header: response.Header, Length: max(0, response.ContentLength)}
 	if hasBody && response.ContentLength > r.BufferBytes && digest != nil {
 		out.Stream = newStream(pool, c, response.Body, response.ContentLength, digest, keep)
-		return p.finish(result, out)
+		return p.completeResult(result, out)
 	}
 	if hasBody {
 		body, err := readBody(response)
-		if err != nil && !p.trust {
-			return p.broken(pool, c, start, result, err)
+		if err != nil && !p.skipChecks {
+			return p.failExchange(pool, c, start, result, err)
 		}
 		out.Body = body
 		fault = errors.Join(fault, err, checkBody(body, response.ContentLength, digest))
 	}
-	if fault != nil && !p.trust {
+	if fault != nil && !p.skipChecks {
 		pool.discard(c)
-		return fail(result, Invalid, fault)
+		return withFailure(result, Invalid, fault)
 	}
-	invariant.Check(fault == nil, invariant.AnswerWhole, "response to request %s is passed on: %v", r.ID, fault)
+	invariant.Check(fault == nil, invariant.AnswerWhole, "invalid response to request %s is passed on: %v", r.ID, fault)
 	if keep && c.reader.Buffered() == 0 {
 		pool.put(c)
 	} else {
 		pool.discard(c)
 	}
-	return p.finish(result, out)
+	return p.completeResult(result, out)
 }
 
-// readBody reads a body that is to be buffered.
+// readBody reads a response body into memory.
 func readBody(response *http.Response) ([]byte, error) {
 	if response.ContentLength < 0 {
 		return io.ReadAll(response.Body)
@@ -260,7 +266,7 @@
 	if err != nil {
 		return body[:n], err
 	}
-	// The read at the end makes net/http check that nothing is missing.
+	// Reading the end of the body makes net/http check that it is complete.
 	_, err = response.Body.Read(make([]byte, 1))
 	if err == io.EOF {
 		err = nil
@@ -268,8 +274,8 @@
 	return body, err
 }
 
-// finish fills in what the response states about the endpoint.
-func (p *Pools) finish(result Result, out *Response) Result {
+// completeResult returns the result with the response and with what its header reports about the endpoint.
+func (p *Pools) completeResult(result Result, out *Response) Result {
 	result.Response = out
 	result.NotRun = out.Status == http.StatusServiceUnavailable && out.Header.Get(HeaderOutcome) == outcomeNotRun
 	result.Incarnation = out.Header.Get(HeaderIncarnation)
--- a/endpoint/pool.go
+++ b/endpoint/pool.go
@@ -1,8 +1,8 @@
-// Package endpoint owns the connections to endpoints and carries out single attempts of requests.
+// Package endpoint manages the connections to endpoints and makes single attempts to send requests to them.
 //
-// It does not use http.Transport, which replays requests on a new connection by itself and may read the previous
-// exchange's response from a reused connection. Here one attempt is one write on one connection; any doubt about the
-// response closes the connection, and the caller learns whether any byte was written.
+// It does not use http.Transport, which can replay a request on a new connection without being asked to, and can read a
+// response that belongs to the previous exchange on a reused connection. Here, an attempt writes a request once, on one
+// connection. Any doubt about the response closes the connection, and the caller learns whether any byte was written.
 package endpoint
 
 import (
@@ -17,28 +17,30 @@
 	"github.com/redwingthread/redwingthread/tcpopt"
 )
 
-// Bounds of connections.
+// Limits of connections.
 const (
-	// dialTimeout bounds the opening of a connection; endpoints are a few milliseconds away.
+	// dialTimeout is the maximum time to open a connection; endpoints are a few milliseconds away.
 	dialTimeout = time.Second
-	// idleTimeout is the age at which an unused connection is closed.
+	// idleTimeout is the time after which an unused connection is closed.
 	idleTimeout = 30 * time.Second
-	// unackedBound is the time after which sent but unacknowledged data closes a connection.
-	unackedBound = 4 * time.Second
-	// maxHeaderBytes bounds the header of a response.
+	// unackedTimeout is the time after which the kernel closes a connection whose sent data is not acknowledged.
+	unackedTimeout = 4 * time.Second
+	// maxHeaderBytes is the maximum size of a response header.
 	maxHeaderBytes = 64 << 10
-	// suspectTimeouts is the number of timeouts in a row after which all idle connections to an address are closed.
-	suspectTimeouts = 2
+	// closeIdleAfterTimeouts is the number of consecutive timeouts after which all idle connections to an address are
+	// closed.
+	closeIdleAfterTimeouts = 2
 )
 
-// Dial opens a connection to address, a host:port.
+// Dial opens a connection to an address of the form host:port.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// NetDial opens TCP connections whose silent death the kernel notices within seconds.
+// NetDial opens a TCP connection with keepalives and a user timeout, so that the kernel detects a dead peer within
+// seconds.
 func NetDial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3},
-		Control:         tcpopt.UserTimeout(unackedBound),
+		Control:         tcpopt.UserTimeout(unackedTimeout),
 	}
 	return dialer.DialContext(ctx, "tcp", address)
 }
@@ -51,9 +53,9 @@
 	pools map[string]*pool
 	// closed is set by Close; guarded by mu.
 	closed bool
-	// trust and keepDoubtful are set by UnsafeTrust.
-	trust        bool
-	keepDoubtful bool
+	// skipChecks and reuseDoubtful are set by UnsafeSkipChecks.
+	skipChecks    bool
+	reuseDoubtful bool
 }
 
 // NewPools returns an empty set of pools that opens connections with dial.
@@ -61,9 +63,10 @@
 	return &Pools{dial: dial, pools: map[string]*pool{}}
 }
 
-// UnsafeTrust passes responses on without the checks of id, length and digest, and keeps connections after doubts. Only
-// tests call it, before the first attempt, to show that their checks need both.
-func (p *Pools) UnsafeTrust() { p.trust, p.keepDoubtful = true, true }
+// UnsafeSkipChecks disables the checks of id, length and digest of responses, and reuses connections after failed
+// exchanges. It must be called before the first attempt. Only tests call it, to show that their checks detect the
+// missing rules.
+func (p *Pools) UnsafeSkipChecks() { p.skipChecks, p.reuseDoubtful = true, true }
 
 // pool holds the connections to one address.
 type pool struct {
@@ -72,11 +75,11 @@
 	mu      sync.Mutex
 	// idle lists unused connections, the most recently used last; guarded by mu.
 	idle []*conn
-	// open counts connections that are idle, in use or being opened; guarded by mu.
+	// open is the number of connections that are idle, in use or being opened; guarded by mu.
 	open int
-	// timeouts counts timeouts since the last whole response; guarded by mu.
+	// timeouts is the number of timeouts since the last complete response; guarded by mu.
 	timeouts int
-	// closed is set when the gateway stops; guarded by mu.
+	// closed is set by Pools.Close; guarded by mu.
 	closed bool
 }
 
@@ -86,27 +89,27 @@
 	limit  io.LimitedReader
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// written counts the bytes given to the connection in the present exchange.
+	// written is the number of bytes written to the connection in the current exchange.
 	written int64
-	// used is true once an exchange was completed on the connection.
+	// used is true once the connection has completed an exchange.
 	used bool
-	// lastGood is the time of the last whole response, or of the opening.
-	lastGood time.Time
+	// lastActive is the time of the last complete response, or of the opening of the connection.
+	lastActive time.Time
 }
 
 // newConn wraps an open connection.
 func newConn(raw net.Conn) *conn {
-	c := &conn{Conn: raw, lastGood: time.Now()}
+	c := &conn{Conn: raw, lastActive: time.Now()}
 	c.limit.R = raw
 	c.reader = bufio.NewReaderSize(&c.limit, 4096)
 	c.writer = bufio.NewWriterSize(countingWriter{c}, 4096)
 	return c
 }
 
-// countingWriter counts the bytes that a connection took.
+// countingWriter counts the bytes written to a connection in conn.written.
 type countingWriter struct{ c *conn }
 
-// Write writes p to the connection.
+// Write implements io.Writer.
 func (w countingWriter) Write(p []byte) (int, error) {
 	n, err := w.c.Conn.Write(p)
 	w.c.written += int64(n)
@@ -120,20 +123,20 @@
 	if p.closed {
 		return nil
 	}
-	one, ok := p.pools[address]
+	entry, ok := p.pools[address]
 	if !ok {
-		one = &pool{owner: p, address: address}
-		p.pools[address] = one
+		entry = &pool{owner: p, address: address}
+		p.pools[address] = entry
 	}
-	return one
+	return entry
 }
 
-// errBusy says that all connections allowed to an address are in use.
+// errBusy is returned if all connections allowed to an address are in use or the pool is closed.
 var errBusy = errkind.New(errkind.Overloaded, "retry later with backoff", "all connections to the endpoint are in use")
 
-// get returns an idle connection or opens one within the bound of maxOpen. With fresh it always opens one.
-func (p *pool) get(ctx context.Context, maxOpen int, fresh bool) (*conn, error) {
-	c, reserved := p.reserve(maxOpen, fresh)
+// get returns an idle connection, or opens one if fewer than maxOpen are open. With forceNew it always opens one.
+func (p *pool) get(ctx context.Context, maxOpen int, forceNew bool) (*conn, error) {
+	c, reserved := p.reserve(maxOpen, forceNew)
 	if c != nil {
 		return c, nil
 	}
@@ -144,29 +147,30 @@
 	defer cancel()
 	raw, err := p.owner.dial(ctx, p.address)
 	if err != nil {
-		p.release()
+		p.cancelReservation()
 		return nil, err
 	}
 	return newConn(raw), nil
 }
 
-// reserve returns an idle connection, or counts one that the caller is to open.
-func (p *pool) reserve(maxOpen int, fresh bool) (c *conn, reserved bool) {
+// reserve returns an idle connection. If there is none, it counts a connection as open, which the caller must then
+// open, and returns true for reserved.
+func (p *pool) reserve(maxOpen int, forceNew bool) (c *conn, reserved bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, false
 	}
-	for !fresh && len(p.idle) > 0 {
-		c := p.popLocked(len(p.idle) - 1)
-		if time.Since(c.lastGood) < idleTimeout && quiet(c.Conn) {
+	for !forceNew && len(p.idle) > 0 {
+		c := p.takeIdleLocked(len(p.idle) - 1)
+		if time.Since(c.lastActive) < idleTimeout && isIntact(c.Conn) {
 			return c, false
 		}
-		p.dropLocked(c)
+		p.closeConnLocked(c)
 	}
-	// The bound may have become lower since the connections were opened.
+	// maxOpen may have decreased since the connections were opened.
 	for p.open >= maxOpen && len(p.idle) > 0 {
-		p.dropLocked(p.popLocked(0))
+		p.closeConnLocked(p.takeIdleLocked(0))
 	}
 	if p.open >= maxOpen {
 		return nil, false
@@ -175,79 +179,80 @@
 	return nil, true
 }
 
-// popLocked takes an idle connection out of the list. The caller holds mu.
-func (p *pool) popLocked(i int) *conn {
+// takeIdleLocked removes and returns the idle connection at index i. The caller holds mu.
+func (p *pool) takeIdleLocked(i int) *conn {
 	c := p.idle[i]
 	p.idle = append(p.idle[:i], p.idle[i+1:]...)
 	return c
 }
 
-// dropLocked closes a connection and counts it out. The caller holds mu.
-func (p *pool) dropLocked(c *conn) {
+// closeConnLocked closes a connection and decrements the number of open ones. The caller holds mu.
+func (p *pool) closeConnLocked(c *conn) {
 	c.Conn.Close()
 	p.open--
 }
 
-// release counts out a connection that was not opened.
-func (p *pool) release() {
+// cancelReservation undoes reserve for a connection that could not be opened.
+func (p *pool) cancelReservation() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// put gives a connection back after an exchange without doubt.
+// put returns a connection to the pool after a successful exchange.
 func (p *pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.timeouts = 0
 	c.used = true
-	c.lastGood = time.Now()
+	c.lastActive = time.Now()
 	p.putLocked(c)
 }
 
-// putUnused gives a connection back on which nothing was written.
+// putUnused returns a connection to the pool on which nothing was written.
 func (p *pool) putUnused(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.putLocked(c)
 }
 
-// putLocked lists a connection as idle, or closes it when the gateway stops. The caller holds mu.
+// putLocked adds a connection to the idle ones, or closes it if the pool is closed. The caller holds mu.
 func (p *pool) putLocked(c *conn) {
 	if p.closed {
-		p.dropLocked(c)
+		p.closeConnLocked(c)
 		return
 	}
 	p.idle = append(p.idle, c)
 }
 
-// discard closes a connection after any doubt.
+// discard closes a connection whose state is in doubt.
 func (p *pool) discard(c *conn) {
-	if p.owner.keepDoubtful {
+	if p.owner.reuseDoubtful {
 		p.put(c)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dropLocked(c)
+	p.closeConnLocked(c)
 }
 
-// timedOut takes in a timeout of an exchange that began at start. Connections that showed no life since then may have
-// gone silent by the same cause; after repeated timeouts none of the old ones is trusted.
-func (p *pool) timedOut(start time.Time) {
+// recordTimeout records the timeout of an exchange that began at start. It closes the idle connections without a
+// response since then, since they may be dead for the same reason. After closeIdleAfterTimeouts timeouts it closes all
+// of them.
+func (p *pool) recordTimeout(start time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.owner.keepDoubtful {
+	if p.owner.reuseDoubtful {
 		return
 	}
 	p.timeouts++
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if p.timeouts < suspectTimeouts && c.lastGood.After(start) {
+		if p.timeouts < closeIdleAfterTimeouts && c.lastActive.After(start) {
 			kept = append(kept, c)
 			continue
 		}
-		p.dropLocked(c)
+		p.closeConnLocked(c)
 	}
 	p.idle = kept
 }
@@ -255,14 +260,14 @@
 // Open returns the number of connections to address that are open or being opened.
 func (p *Pools) Open(address string) int {
 	p.mu.Lock()
-	one := p.pools[address]
+	entry := p.pools[address]
 	p.mu.Unlock()
-	if one == nil {
+	if entry == nil {
 		return 0
 	}
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	return one.open
+	entry.mu.Lock()
+	defer entry.mu.Unlock()
+	return entry.open
 }
 
 // OpenTotal returns the number of connections that are open or being opened.
@@ -270,47 +275,48 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	total := 0
-	for _, one := range p.pools {
-		one.mu.Lock()
-		total += one.open
-		one.mu.Unlock()
+	for _, entry := range p.pools {
+		entry.mu.Lock()
+		total += entry.open
+		entry.mu.Unlock()
 	}
 	return total
 }
 
-// CloseIdle closes connections that were not used for a while, and forgets addresses without any.
+// CloseIdle closes connections that were not used for idleTimeout.
 func (p *Pools) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, one := range p.pools {
-		one.closeIdle(idleTimeout)
+	for _, entry := range p.pools {
+		entry.closeIdle(idleTimeout)
 	}
 }
 
-// closeIdle closes connections that were not used for at least age.
+// closeIdle closes idle connections that were not used for at least age.
 func (p *pool) closeIdle(age time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if time.Since(c.lastGood) < age {
+		if time.Since(c.lastActive) < age {
 			kept = append(kept, c)
 			continue
 		}
-		p.dropLocked(c)
+		p.closeConnLocked(c)
 	}
 	p.idle = kept
 }
 
-// Close closes all idle connections; those in use are closed at the end of their exchange. No further attempt is made.
+// Close closes all idle connections. Connections in use are closed at the end of their exchange. Further attempts fail
+// with Busy.
 func (p *Pools) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, one := range p.pools {
-		one.mu.Lock()
-		one.closed = true
-		one.mu.Unlock()
-		one.closeIdle(0)
+	for _, entry := range p.pools {
+		entry.mu.Lock()
+		entry.closed = true
+		entry.mu.Unlock()
+		entry.closeIdle(0)
 	}
 }
--- a/endpoint/pool_test.go
+++ b/endpoint/pool_test.go
@@ -14,8 +14,9 @@
 	"time"
 )
 
-// serve starts an endpoint on loopback. answer writes the response to a request and reports whether to go on.
-func serve(t *testing.T, answer func(c net.Conn, r *http.Request) bool) (address string) {
+// serve starts an endpoint on loopback. respondTo writes the response to a request and reports whether the connection
+// stays open.
+func serve(t *testing.T, respondTo func(c net.Conn, r *http.Request) bool) (address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +36,7 @@
 					if err != nil {
 						return
 					}
-					if _, err := io.Copy(io.Discard, r.Body); err != nil || !answer(c, r) {
+					if _, err := io.Copy(io.Discard, r.Body); err != nil || !respondTo(c, r) {
 						return
 					}
 				}
@@ -45,7 +46,7 @@
 	return l.Addr().String()
 }
 
-// respond writes a whole response.
+// respond writes a complete, valid response.
 func respond(c net.Conn, r *http.Request, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Digest: %s\r\nContent-Length: %d\r\n\r\n%s",
 		HeaderRequestID, r.Header.Get(HeaderRequestID), FormatDigest([]byte(body)), len(body), body)
@@ -59,7 +60,7 @@
 	})
 }
 
-// TestWritten guards against an attempt that claims that nothing was written when something may have been.
+// TestWritten guards against an attempt that reports that nothing was written although something may have been.
 func TestWritten(t *testing.T) {
 	pools := NewPools(NetDial)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,8 +81,8 @@
 	}
 }
 
-// TestStaleConnection guards against a write on a connection that the endpoint closed or sent something on while it was
-// idle: such an attempt would end as unknown although a new connection works.
+// TestStaleConnection guards against writing to a connection that the endpoint closed, or on which it sent data, while
+// the connection was idle. Such an attempt would end as unknown although a new connection works.
 func TestStaleConnection(t *testing.T) {
 	for _, extra := range []string{"", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"} {
 		var exchanges atomic.Int32
@@ -99,10 +100,10 @@
 			if r := attempt(pools, address, fmt.Sprint(i), 1); r.Failure != NoFailure || string(r.Response.Body) != "b" {
 				t.Errorf("extra %q, attempt %d: got %+v", extra, i, r)
 			}
-			// The connection may have been closed in the exchange already.
+			// Waits until the close or the extra data arrives. The connection may already be closed by the exchange.
 			for _, c := range pools.pools[address].idle {
 				for range 2000 {
-					if !quiet(c.Conn) {
+					if !isIntact(c.Conn) {
 						break
 					}
 					time.Sleep(time.Millisecond)
@@ -115,7 +116,7 @@
 	}
 }
 
-// TestBound guards against more connections than allowed, also while some are being opened.
+// TestBound guards against more connections than allowed, including those being opened.
 func TestBound(t *testing.T) {
 	var open, most, busy atomic.Int32
 	full := make(chan struct{})
@@ -144,7 +145,7 @@
 	}
 }
 
-// TestLargeBody guards against a large body that is passed on as whole although it is cut off or altered.
+// TestLargeBody guards against a streamed body that is passed on as complete although it is truncated or altered.
 func TestLargeBody(t *testing.T) {
 	body := strings.Repeat("z", 100_000)
 	for name, alter := range map[string]func(string) string{
--- a/endpoint/probe.go
+++ b/endpoint/probe.go
@@ -9,22 +9,23 @@
 	"github.com/google/uuid"
 )
 
-// probeTimeout bounds a probe.
+// probeTimeout is the maximum duration of a probe.
 const probeTimeout = time.Second
 
-// ProbeResult is what a probe learned.
+// ProbeResult is the result of a probe. Incarnation is empty if the endpoint did not report it.
 type ProbeResult struct {
 	Connected   bool
 	Incarnation string
 	Leaving     bool
 }
 
-// Probe opens a new connection to address. With ask it sends "OPTIONS *", which is no work, to learn the incarnation.
-func (p *Pools) Probe(ctx context.Context, address string, maxOpen int, ask bool) ProbeResult {
+// Probe opens a new connection to address, with at most maxOpen connections open to it. With queryIncarnation it sends
+// "OPTIONS *", which is no work for the endpoint, to learn its incarnation.
+func (p *Pools) Probe(ctx context.Context, address string, maxOpen int, queryIncarnation bool) ProbeResult {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if ask {
-		return p.ask(ctx, address, maxOpen)
+	if queryIncarnation {
+		return p.queryIncarnation(ctx, address, maxOpen)
 	}
 	pool := p.pool(address)
 	if pool == nil {
@@ -32,26 +33,26 @@
 	}
 	c, err := pool.get(ctx, maxOpen, true)
 	if err != nil {
-		// All connections being in use says that the endpoint accepts some.
+		// If all connections are in use, the endpoint does accept connections.
 		return ProbeResult{Connected: errors.Is(err, errBusy)}
 	}
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	pool.dropLocked(c)
+	pool.closeConnLocked(c)
 	return ProbeResult{Connected: true}
 }
 
-// ask asks the endpoint for its incarnation.
-func (p *Pools) ask(ctx context.Context, address string, maxOpen int) ProbeResult {
+// queryIncarnation asks the endpoint for its incarnation.
+func (p *Pools) queryIncarnation(ctx context.Context, address string, maxOpen int) ProbeResult {
 	result := p.Attempt(ctx, address, maxOpen, &Request{
-		ID:          uuid.NewString(),
-		Method:      http.MethodOptions,
-		Path:        "*",
-		Deadline:    time.Now().Add(probeTimeout),
-		Timeout:     probeTimeout,
-		BufferBytes: 1 << 20,
-		Fresh:       true,
-		BeforeWrite: func() error { return nil },
+		ID:            uuid.NewString(),
+		Method:        http.MethodOptions,
+		Path:          "*",
+		Deadline:      time.Now().Add(probeTimeout),
+		Timeout:       probeTimeout,
+		BufferBytes:   1 << 20,
+		NewConnection: true,
+		BeforeWrite:   func() error { return nil },
 	})
 	if result.Response != nil && result.Response.Stream != nil {
 		result.Response.Stream.Close()
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -132,7 +132,7 @@
 // mayRetry reports whether another attempt is allowed, and takes it from the account's retry budget. An attempt after a
 // failed dial is free, since the endpoint did no work.
 func (g *Gateway) mayRetry(c *callerRequest, attempts *request.Attempts, last endpoint.Result, n int) bool {
-	if n >= maxAttempts || last.Failure == endpoint.Withheld {
+	if n >= maxAttempts || last.Failure == endpoint.NotSent {
 		return false
 	}
 	if attempts.MayHaveRun() && !attempts.Idempotent && !g.unsafe.retryAlways {
@@ -182,7 +182,7 @@
 func routingReport(r endpoint.Result) routing.Report {
 	out := routing.Report{Took: r.Took, Inflight: r.Inflight, Incarnation: r.Incarnation, Leaving: r.Leaving}
 	switch {
-	case r.Failure == endpoint.Busy || r.Failure == endpoint.Withheld:
+	case r.Failure == endpoint.Busy || r.Failure == endpoint.NotSent:
 		out.Kind = routing.Abandoned
 	case r.Failure == endpoint.NoConnection:
 		out.Kind = routing.NoConnection
@@ -203,7 +203,7 @@
 	switch {
 	case r.NotRun:
 		return errkind.New(errkind.Overloaded, "retry later with backoff", "endpoint rejected the request without running it")
-	case r.Failure == endpoint.Withheld:
+	case r.Failure == endpoint.NotSent:
 		return r.Err
 	case !r.Written:
 		return errkind.Wrap(r.Err, errkind.Unavailable, "retry later", "request could not be sent to an endpoint")
--- a/gateway/failure_test.go
+++ b/gateway/failure_test.go
@@ -173,7 +173,7 @@
 // delay requests by a few seconds at most, and their endpoints must not be ejected for them.
 func TestSilentConnections(t *testing.T) {
 	t.Run("with rules", func(t *testing.T) { checkSilentConnections(t, nil) })
-	t.Run("without rules", func(t *testing.T) { checkSilentConnections(t, func(n *node) { n.pools.UnsafeTrust() }) })
+	t.Run("without rules", func(t *testing.T) { checkSilentConnections(t, func(n *node) { n.pools.UnsafeSkipChecks() }) })
 }
 
 // checkSilentConnections expects no faults, or some if unsafe is set and disables rules.
--- a/gateway/scenario_test.go
+++ b/gateway/scenario_test.go
@@ -386,7 +386,7 @@
 		"leaving endpoints get no work": func(n *node) {
 			n.dispatcher.routes.UnsafeIgnore(routing.Rules{Leaving: true})
 		},
-		"checks of responses": func(n *node) { n.pools.UnsafeTrust() },
+		"checks of responses": func(n *node) { n.pools.UnsafeSkipChecks() },
 	}
 	for name, unsafe := range cases {
 		t.Run(name, func(t *testing.T) {
