--- a/config/canonical.go
+++ b/config/canonical.go
@@ -14,7 +14,7 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// encMode sorts map keys and uses shortest forms, so that equal values have equal encodings in every process.
+// encMode sorts map keys and uses the shortest encodings, so that equal values have equal encodings in every process.
 var encMode = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -23,23 +23,24 @@
 	return mode
 }()
 
-// Encode returns the canonical encoding of doc.
+// Encode returns the canonical CBOR encoding of doc. An error has the kind Internal.
 func Encode(doc *Document) ([]byte, error) {
 	raw, err := encMode.Marshal(doc)
-	return raw, errkind.Wrap(err, errkind.Internal, "report this", "document cannot be encoded")
+	return raw, errkind.Wrap(err, errkind.Internal, "report this as a bug", "cannot encode configuration document")
 }
 
-// Decode reads a canonical encoding. It does not validate the document.
+// Decode decodes a document encoded by Encode. It does not validate the document. An error has the kind BadInput.
 func Decode(raw []byte) (*Document, error) {
 	var doc Document
 	if err := cbor.Unmarshal(raw, &doc); err != nil {
-		return nil, errkind.Wrap(err, errkind.BadInput, "read the document from another source", "document cannot be decoded")
+		return nil, errkind.Wrap(err, errkind.BadInput, "fetch the document from another source",
+			"cannot decode configuration document")
 	}
 	return &doc, nil
 }
 
-// Digest returns the 64-bit digest of the canonical encoding of doc. It detects divergence; it is no protection against
-// forgery.
+// Digest returns a 64-bit digest of the canonical encoding of doc, or 0 if doc cannot be encoded. The digest detects
+// divergence between processes; it is not cryptographic and does not protect against forgery.
 func Digest(doc *Document) uint64 {
 	raw, err := Encode(doc)
 	if err != nil {
@@ -67,13 +68,13 @@
 	return true
 }
 
-// SameTokenDigest compares two digests in constant time.
+// SameTokenDigest reports whether two token digests are equal. It takes constant time.
 func SameTokenDigest(a, b string) bool {
 	return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1
 }
 
-// Diff returns the ops that turn document a into document b, ordered by section and name. Endpoints of a service that
-// both have are compared one by one.
+// Diff returns the ops that turn document a into document b, ordered by section and name. If only endpoints of a service
+// differ, the result has one op for each changed endpoint instead of one for the service.
 func Diff(a, b *Document) []Op {
 	var ops []Op
 	ops = diffItems(ops, "failure_domains/", a.FailureDomains, b.FailureDomains)
@@ -112,9 +113,9 @@
 func diffServices(ops []Op, a, b map[string]Service) []Op {
 	for _, name := range sortedKeys(b) {
 		old, ok := a[name]
-		same := old
-		same.Endpoints = b[name].Endpoints
-		if !ok || !reflect.DeepEqual(same, b[name]) {
+		withNewEndpoints := old
+		withNewEndpoints.Endpoints = b[name].Endpoints
+		if !ok || !reflect.DeepEqual(withNewEndpoints, b[name]) {
 			ops = append(ops, setOp("services/"+name, b[name]))
 			continue
 		}
@@ -131,7 +132,7 @@
 func setOp(path string, value any) Op {
 	raw, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // items hold no channels, functions or non-finite numbers
+		panic(err) // cannot happen: items hold no channels, functions or non-finite numbers
 	}
 	return Op{Op: OpSet, Path: path, Value: raw}
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -11,8 +11,8 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// sample returns a valid document with racks of eight workers of eight accelerators each in one failure domain.
-func sample(workers int) *Document {
+// sampleDocument returns a valid document with one failure domain. Its racks hold eight workers of eight accelerators each.
+func sampleDocument(workers int) *Document {
 	doc := &Document{
 		FailureDomains: map[string]FailureDomain{"fd-a": {Region: "north"}},
 		Workers:        map[string]resource.Worker{},
@@ -29,62 +29,63 @@
 	return Normalise(doc)
 }
 
+// op returns an op that sets the item at path to value.
 func op(path string, value any) Op {
 	raw := must(json.Marshal(value))
 	return Op{Op: OpSet, Path: path, Value: raw}
 }
 
-func gang(members, accelerators int, adjacency resource.Adjacency) resource.Shape {
+func gangShape(members, accelerators int, adjacency resource.Adjacency) resource.Shape {
 	return resource.Shape{Members: members, Adjacency: adjacency,
 		PerMember: resource.Resources{Accelerators: accelerators, MilliCPU: 1000, MemoryMB: 1024}}
 }
 
-// guaranteed returns the op that gives orders one guarantee.
-func guaranteed(shape resource.Shape, count int) Op {
+// guaranteeOp returns the op that sets the only guarantee of account orders.
+func guaranteeOp(shape resource.Shape, count int) Op {
 	return op("accounts/orders", Account{TokenDigest: TokenDigest("orders"), Weight: 1,
 		Guarantees: []Guarantee{{FailureDomain: "fd-a", Shape: shape, Count: count}}})
 }
 
-// TestApply guards against a faulty patch that is accepted, a refusal without a remedy or with the wrong kind, and a
-// document that changes although the patch was refused.
+// TestApply guards against accepting an invalid patch, against an error that has the wrong kind or no remedy, and against a
+// change to the document that a patch is applied to.
 func TestApply(t *testing.T) {
 	cases := map[string]struct {
-		ops    []Op
-		kind   errkind.Kind
-		inText []string
+		ops      []Op
+		kind     errkind.Kind
+		wantText []string
 	}{
 		"valid":            {ops: []Op{op("drains/vm-3", Drain{Reason: "disk"}), op("policy", DefaultPolicy())}},
 		"endpoint":         {ops: []Op{op("services/scan", Service{TimeoutMS: 100, MaxBodyBytes: 10}), op("services/scan/endpoints/e-1", Endpoint{FailureDomain: "fd-a", Address: "10.0.0.1:80", Slots: 8, MaxConnections: 64})}},
-		"unknown section":  {ops: []Op{op("teams/x", 1)}, kind: errkind.BadInput, inText: []string{"teams"}},
-		"unknown op":       {ops: []Op{{Op: "merge", Path: "policy"}}, kind: errkind.BadInput, inText: []string{"merge"}},
-		"unknown field":    {ops: []Op{{Op: OpSet, Path: "drains/vm-3", Value: []byte(`{"why":1}`)}}, kind: errkind.BadInput, inText: []string{"why"}},
+		"unknown section":  {ops: []Op{op("teams/x", 1)}, kind: errkind.BadInput, wantText: []string{"teams"}},
+		"unknown op":       {ops: []Op{{Op: "merge", Path: "policy"}}, kind: errkind.BadInput, wantText: []string{"merge"}},
+		"unknown field":    {ops: []Op{{Op: OpSet, Path: "drains/vm-3", Value: []byte(`{"why":1}`)}}, kind: errkind.BadInput, wantText: []string{"why"}},
 		"not JSON":         {ops: []Op{{Op: OpSet, Path: "drains/vm-3", Value: []byte(`{`)}}, kind: errkind.BadInput},
 		"trailing text":    {ops: []Op{{Op: OpSet, Path: "drains/vm-3", Value: []byte(`{} {}`)}}, kind: errkind.BadInput},
-		"remove absent":    {ops: []Op{{Op: OpRemove, Path: "workers/w-9"}}, kind: errkind.BadInput, inText: []string{"nothing to remove"}},
+		"remove absent":    {ops: []Op{{Op: OpRemove, Path: "workers/w-9"}}, kind: errkind.BadInput, wantText: []string{"nothing to remove"}},
 		"remove policy":    {ops: []Op{{Op: OpRemove, Path: "policy"}}, kind: errkind.BadInput},
-		"other name":       {ops: []Op{op("drains/vm-3", Drain{VM: "vm-4"})}, kind: errkind.BadInput, inText: []string{"vm-4"}},
+		"other name":       {ops: []Op{op("drains/vm-3", Drain{VM: "vm-4"})}, kind: errkind.BadInput, wantText: []string{"vm-4"}},
 		"bad name":         {ops: []Op{op("drains/vm 3", Drain{})}, kind: errkind.BadInput},
-		"last operator":    {ops: []Op{{Op: OpRemove, Path: "operators/ana"}}, kind: errkind.BadInput, inText: []string{"operator"}},
-		"shared token":     {ops: []Op{op("operators/bo", Operator{TokenDigest: TokenDigest("ana")})}, kind: errkind.BadInput, inText: []string{"operators/ana"}},
-		"used domain":      {ops: []Op{{Op: OpRemove, Path: "failure_domains/fd-a"}}, kind: errkind.BadInput, inText: []string{"fd-a"}},
-		"host name":        {ops: []Op{op("workers/w-9", resource.Worker{FailureDomain: "fd-a", Rack: "r", Address: "host:80", Capacity: resource.Resources{MilliCPU: 1, MemoryMB: 1}})}, kind: errkind.BadInput, inText: []string{"host:80"}},
-		"endpoint only":    {ops: []Op{op("services/scan/endpoints/e-1", Endpoint{})}, kind: errkind.BadInput, inText: []string{"services/scan"}},
-		"fewer than seats": {ops: []Op{op("services/scan", Service{TimeoutMS: 100, MaxBodyBytes: 10}), op("services/scan/endpoints/e-1", Endpoint{FailureDomain: "fd-a", Address: "10.0.0.1:80", Slots: 8, MaxConnections: 5})}, kind: errkind.BadInput, inText: []string{"seats"}},
-		"quota below":      {ops: []Op{op("accounts/orders", Account{TokenDigest: TokenDigest("orders"), Weight: 1, Quota: 3, Guarantees: []Guarantee{{FailureDomain: "fd-a", Shape: gang(1, 4, "none"), Count: 1}}})}, kind: errkind.BadInput, inText: []string{"quota"}},
-		"every fault":      {ops: []Op{op("teams/x", 1), op("drains/a b", 1), {Op: OpRemove, Path: "workers/none"}}, kind: errkind.BadInput, inText: []string{"ops[0]", "ops[1]", "ops[2]"}},
-		"unpackable count": {ops: []Op{guaranteed(gang(1, 8, "none"), 9)}, kind: errkind.Infeasible, inText: []string{"account orders", "failure domain fd-a"}},
-		"unpackable rack":  {ops: []Op{guaranteed(gang(9, 8, "rack"), 1)}, kind: errkind.Infeasible, inText: []string{"account orders", "failure domain fd-a"}},
-		"unpackable host":  {ops: []Op{guaranteed(gang(2, 5, "worker"), 1)}, kind: errkind.Infeasible, inText: []string{"adjacency worker"}},
-		"workers removed":  {ops: []Op{guaranteed(gang(8, 8, "rack"), 1), {Op: OpRemove, Path: "workers/w-001"}}, kind: errkind.Infeasible, inText: []string{"account orders"}},
-		"packable":         {ops: []Op{guaranteed(gang(8, 8, "rack"), 1)}},
+		"last operator":    {ops: []Op{{Op: OpRemove, Path: "operators/ana"}}, kind: errkind.BadInput, wantText: []string{"operator"}},
+		"shared token":     {ops: []Op{op("operators/bo", Operator{TokenDigest: TokenDigest("ana")})}, kind: errkind.BadInput, wantText: []string{"operators/ana"}},
+		"used domain":      {ops: []Op{{Op: OpRemove, Path: "failure_domains/fd-a"}}, kind: errkind.BadInput, wantText: []string{"fd-a"}},
+		"host name":        {ops: []Op{op("workers/w-9", resource.Worker{FailureDomain: "fd-a", Rack: "r", Address: "host:80", Capacity: resource.Resources{MilliCPU: 1, MemoryMB: 1}})}, kind: errkind.BadInput, wantText: []string{"host:80"}},
+		"endpoint only":    {ops: []Op{op("services/scan/endpoints/e-1", Endpoint{})}, kind: errkind.BadInput, wantText: []string{"services/scan"}},
+		"fewer than seats": {ops: []Op{op("services/scan", Service{TimeoutMS: 100, MaxBodyBytes: 10}), op("services/scan/endpoints/e-1", Endpoint{FailureDomain: "fd-a", Address: "10.0.0.1:80", Slots: 8, MaxConnections: 5})}, kind: errkind.BadInput, wantText: []string{"seats"}},
+		"quota below":      {ops: []Op{op("accounts/orders", Account{TokenDigest: TokenDigest("orders"), Weight: 1, Quota: 3, Guarantees: []Guarantee{{FailureDomain: "fd-a", Shape: gangShape(1, 4, "none"), Count: 1}}})}, kind: errkind.BadInput, wantText: []string{"quota"}},
+		"every fault":      {ops: []Op{op("teams/x", 1), op("drains/a b", 1), {Op: OpRemove, Path: "workers/none"}}, kind: errkind.BadInput, wantText: []string{"ops[0]", "ops[1]", "ops[2]"}},
+		"unpackable count": {ops: []Op{guaranteeOp(gangShape(1, 8, "none"), 9)}, kind: errkind.Infeasible, wantText: []string{"account orders", "failure domain fd-a"}},
+		"unpackable rack":  {ops: []Op{guaranteeOp(gangShape(9, 8, "rack"), 1)}, kind: errkind.Infeasible, wantText: []string{"account orders", "failure domain fd-a"}},
+		"unpackable host":  {ops: []Op{guaranteeOp(gangShape(2, 5, "worker"), 1)}, kind: errkind.Infeasible, wantText: []string{"adjacency worker"}},
+		"workers removed":  {ops: []Op{guaranteeOp(gangShape(8, 8, "rack"), 1), {Op: OpRemove, Path: "workers/w-001"}}, kind: errkind.Infeasible, wantText: []string{"account orders"}},
+		"packable":         {ops: []Op{guaranteeOp(gangShape(8, 8, "rack"), 1)}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			doc := sample(8)
+			doc := sampleDocument(8)
 			before := Digest(doc)
 			next, err := Apply(doc, Patch{ID: "p-1", Author: "ana", Reason: "test", Ops: c.ops})
 			if Digest(doc) != before {
-				t.Error("the argument was changed")
+				t.Error("Apply changed its argument")
 			}
 			if got := errkind.KindOf(err); got != c.kind {
 				t.Fatalf("kind %q, want %q: %v", got, c.kind, err)
@@ -98,30 +99,30 @@
 			typed := errkind.As(err)
 			var faults *FaultsError
 			if typed.Remedy == "" || !errors.As(err, &faults) {
-				t.Errorf("error without remedy or list of faults: %v", err)
+				t.Errorf("error has no remedy or does not wrap a FaultsError: %v", err)
 			}
-			for _, text := range c.inText {
+			for _, text := range c.wantText {
 				if !strings.Contains(typed.Message, text) {
-					t.Errorf("message %q lacks %q", typed.Message, text)
+					t.Errorf("message %q does not contain %q", typed.Message, text)
 				}
 			}
 		})
 	}
 }
 
-// TestApplyOldBase guards against a patch that takes effect on another version than the one it was written against.
-func TestApplyOldBase(t *testing.T) {
-	_, err := Apply(sample(1), Patch{ID: "p", Base: 1, Author: "ana", Reason: "r", Ops: []Op{op("drains/v", Drain{})}})
+// TestApplyRejectsOtherBase guards against applying a patch to a version other than its base.
+func TestApplyRejectsOtherBase(t *testing.T) {
+	_, err := Apply(sampleDocument(1), Patch{ID: "p", Base: 1, Author: "ana", Reason: "r", Ops: []Op{op("drains/v", Drain{})}})
 	if !errkind.Is(err, errkind.Conflict) {
 		t.Fatalf("got %v", err)
 	}
 }
 
-// TestDiff guards against a diff that misses a change: its ops must turn one document into the other, both ways.
+// TestDiff guards against a diff that omits a change: its ops must turn each document into the other.
 func TestDiff(t *testing.T) {
-	a := sample(4)
+	a := sampleDocument(4)
 	b, err := Apply(a, Patch{ID: "p", Author: "ana", Reason: "r", Ops: []Op{
-		guaranteed(gang(1, 1, "none"), 1), op("services/scan", Service{TimeoutMS: 1, MaxBodyBytes: 1}),
+		guaranteeOp(gangShape(1, 1, "none"), 1), op("services/scan", Service{TimeoutMS: 1, MaxBodyBytes: 1}),
 		op("services/scan/endpoints/e", Endpoint{FailureDomain: "fd-a", Address: "10.0.0.1:80", Slots: 1, MaxConnections: 8}),
 		{Op: OpRemove, Path: "workers/w-003"}}})
 	if err != nil {
@@ -131,56 +132,56 @@
 	for _, pair := range [][2]*Document{{a, b}, {b, a}, {b, c}, {c, b}, {a, c}, {c, a}} {
 		got, err := ApplyOps(pair[0], Diff(pair[0], pair[1]), pair[1].Version)
 		if err != nil || Digest(got) != Digest(pair[1]) {
-			t.Errorf("diff of versions %d and %d is not exact: %v", pair[0].Version, pair[1].Version, err)
+			t.Errorf("diff from version %d does not reproduce version %d: %v", pair[0].Version, pair[1].Version, err)
 		}
 	}
 	if ops := Diff(b, b); len(ops) != 0 {
-		t.Errorf("equal documents differ: %v", ops)
+		t.Errorf("diff of equal documents is not empty: %v", ops)
 	}
 }
 
-// TestDescribe guards against a review that misses a change or shows a whole token digest.
+// TestDescribe guards against a description that omits a change or exposes a complete token digest.
 func TestDescribe(t *testing.T) {
-	got := strings.Join(Describe(sample(1), []Op{
+	got := strings.Join(Describe(sampleDocument(1), []Op{
 		op("accounts/orders", Account{TokenDigest: TokenDigest("new"), Weight: 2}), op("drains/v", Drain{Reason: "disk"}),
 		{Op: OpRemove, Path: "workers/w-000"}, {Op: OpRemove, Path: "workers/none"}}), "\n")
 	for _, want := range []string{"accounts/orders weight: 1 -> 2", "token_digest: " + TokenDigest("orders")[:8] + "... -> ",
 		`drains/v: added, reason "disk"`, "workers/w-000: removed", "workers/none: not possible"} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q lacks %q", got, want)
+			t.Errorf("%q does not contain %q", got, want)
 		}
 	}
 	if strings.Contains(got, TokenDigest("new")) {
-		t.Error("a token digest is shown")
+		t.Error("description contains a complete token digest")
 	}
 }
 
-// TestCanonicalEncoding guards against equal documents with different digests, which would raise a false alarm.
+// TestCanonicalEncoding guards against equal documents with different digests, which would raise a false divergence alarm.
 func TestCanonicalEncoding(t *testing.T) {
-	doc := sample(50)
+	doc := sampleDocument(50)
 	raw := must(Encode(doc))
-	back, err := Decode(raw)
-	if err != nil || Digest(back) != Digest(doc) {
-		t.Fatalf("digest changed over a round trip: %v", err)
+	decoded, err := Decode(raw)
+	if err != nil || Digest(decoded) != Digest(doc) {
+		t.Fatalf("digest changed after encoding and decoding: %v", err)
 	}
-	back.Policy.MaxWaitMS++
-	if Digest(back) == Digest(doc) {
-		t.Fatal("digest does not see a change")
+	decoded.Policy.MaxWaitMS++
+	if Digest(decoded) == Digest(doc) {
+		t.Fatal("digest did not change with the document")
 	}
 }
 
-// TestTokenDigest guards against a digest that is compared or accepted in another form.
+// TestTokenDigest guards against a token digest that does not match its token, and against accepting a malformed digest.
 func TestTokenDigest(t *testing.T) {
 	digest := TokenDigest("secret")
 	if !ValidTokenDigest(digest) || !SameTokenDigest(digest, TokenDigest("secret")) || SameTokenDigest(digest, TokenDigest("other")) {
-		t.Error("digest of a token is not recognised")
+		t.Error("token digest is invalid, does not match its token or matches another token")
 	}
 	if ValidTokenDigest(strings.ToUpper(digest)) || ValidTokenDigest(digest[1:]) || ValidTokenDigest("") {
-		t.Error("malformed digest is accepted")
+		t.Error("malformed token digest was accepted")
 	}
 }
 
-// must gives the value of a call that cannot fail unless the test is wrong.
+// must returns value, or panics if err is not nil. It is for calls that only fail if the test itself is wrong.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
--- a/config/describe.go
+++ b/config/describe.go
@@ -8,72 +8,73 @@
 	"strings"
 )
 
-// Describe returns one line for each field that ops change in doc, ordered by op and field, for review:
+// Describe returns one line for each field that ops change in doc, ordered by op and field, for an operator to review:
 //
 //	accounts/orders weight: 1 -> 2
 //	workers/w-9: added, address "10.0.0.9:9000", ...
 //	drains/vm-3: removed
 //
-// Token digests are shown by their first digits only. Ops that cannot be applied are described as they stand.
+// Token digests are shortened to their first 8 digits. For an op that cannot be applied the line gives the reason.
 func Describe(doc *Document, ops []Op) []string {
 	var lines []string
 	current := clone(doc)
 	for i, op := range ops {
-		before := item(current, op.Path)
+		before := fieldsAt(current, op.Path)
 		var faults faultList
 		applyOp(&faults, current, i, op)
 		if len(faults) > 0 {
 			lines = append(lines, fmt.Sprintf("%s %s: not possible: %s", op.Op, op.Path, faults[0].Message))
 			continue
 		}
-		lines = append(lines, describeChange(op.Path, before, item(current, op.Path))...)
+		lines = append(lines, describeChange(op.Path, before, fieldsAt(current, op.Path))...)
 	}
 	return lines
 }
 
-// item returns the item at path as a tree of JSON values, nil if there is none.
-func item(doc *Document, path string) map[string]any {
+// fieldsAt returns the fields of the item at path as decoded JSON values, or nil if the item does not exist.
+func fieldsAt(doc *Document, path string) map[string]any {
 	parts := strings.Split(path, "/")
 	if path == "policy" {
-		return tree(doc.Policy)
+		return jsonFields(doc.Policy)
 	}
 	if len(parts) == 4 {
-		return lookup(doc.Services[parts[1]].Endpoints, parts[3])
+		return lookupFields(doc.Services[parts[1]].Endpoints, parts[3])
 	}
 	if len(parts) != 2 {
 		return nil
 	}
 	switch parts[0] {
 	case "failure_domains":
-		return lookup(doc.FailureDomains, parts[1])
+		return lookupFields(doc.FailureDomains, parts[1])
 	case "workers":
-		return lookup(doc.Workers, parts[1])
+		return lookupFields(doc.Workers, parts[1])
 	case "accounts":
-		return lookup(doc.Accounts, parts[1])
+		return lookupFields(doc.Accounts, parts[1])
 	case "services":
-		return lookup(doc.Services, parts[1])
+		return lookupFields(doc.Services, parts[1])
 	case "operators":
-		return lookup(doc.Operators, parts[1])
+		return lookupFields(doc.Operators, parts[1])
 	case "drains":
-		return lookup(doc.Drains, parts[1])
+		return lookupFields(doc.Drains, parts[1])
 	}
 	return nil
 }
 
-func lookup[V any](items map[string]V, name string) map[string]any {
+func lookupFields[V any](items map[string]V, name string) map[string]any {
 	value, ok := items[name]
 	if !ok {
 		return nil
 	}
-	return tree(value)
+	return jsonFields(value)
 }
 
-func tree(value any) map[string]any {
+// jsonFields returns the fields of value's JSON form.
+func jsonFields(value any) map[string]any {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		return nil
 	}
-	// Numbers stay as they are written; as floats, large ones would be rounded.
+	// Numbers are kept as text, since conversion to float64 would round large ones.
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
 	var fields map[string]any
@@ -84,19 +85,19 @@
 }
 
 func describeChange(path string, before, after map[string]any) []string {
-	old, now := map[string]string{}, map[string]string{}
-	flatten(old, "", before)
-	flatten(now, "", after)
+	oldFields, newFields := map[string]string{}, map[string]string{}
+	flatten(oldFields, "", before)
+	flatten(newFields, "", after)
 	switch {
 	case before == nil:
-		return []string{path + ": added, " + joinFields(now)}
+		return []string{path + ": added, " + joinFields(newFields)}
 	case after == nil:
 		return []string{path + ": removed"}
 	}
 	var lines []string
-	for _, field := range unionKeys(old, now) {
-		if old[field] != now[field] {
-			lines = append(lines, fmt.Sprintf("%s %s: %s -> %s", path, field, orNone(old[field]), orNone(now[field])))
+	for _, field := range unionKeys(oldFields, newFields) {
+		if oldFields[field] != newFields[field] {
+			lines = append(lines, fmt.Sprintf("%s %s: %s -> %s", path, field, orNone(oldFields[field]), orNone(newFields[field])))
 		}
 	}
 	if len(lines) == 0 {
@@ -105,7 +106,7 @@
 	return lines
 }
 
-// flatten writes the leaves of a tree under dotted names.
+// flatten adds the scalar values in value to into, with nested names joined by dots.
 func flatten(into map[string]string, prefix string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -118,17 +119,17 @@
 		}
 	case nil:
 	default:
-		into[prefix] = leaf(prefix, v)
+		into[prefix] = formatValue(prefix, v)
 	}
 }
 
-// leaf shows enough of a token digest to tell two apart.
-func leaf(name string, value any) string {
-	text, isText := value.(string)
-	if isText && strings.HasSuffix(name, "token_digest") && len(text) > 8 {
+// formatValue formats a scalar value. It shortens a token digest to the 8 digits that suffice to distinguish two digests.
+func formatValue(name string, value any) string {
+	text, isString := value.(string)
+	if isString && strings.HasSuffix(name, "token_digest") && len(text) > 8 {
 		return text[:8] + "..."
 	}
-	if isText {
+	if isString {
 		return fmt.Sprintf("%q", text)
 	}
 	return fmt.Sprint(value)
--- a/config/fault.go
+++ b/config/fault.go
@@ -7,9 +7,9 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// Fault is one thing that is wrong with a patch or a document.
+// Fault is one validation error in a patch or a document.
 type Fault struct {
-	// Path names the item, for example "accounts/orders" or "ops[2] workers/w-1".
+	// Path identifies the item, for example "accounts/orders" or "ops[2] workers/w-1".
 	Path    string       `json:"path" cbor:"path"`
 	Kind    errkind.Kind `json:"kind" cbor:"kind"`
 	Message string       `json:"message" cbor:"message"`
@@ -19,13 +19,14 @@
 // String returns the fault with its remedy in one line.
 func (f Fault) String() string { return f.Path + ": " + f.Message + " (" + f.Remedy + ")" }
 
-// FaultsError lists every fault of a patch or document. It is the cause of the errors of Apply and Validate.
+// FaultsError lists every fault of a patch or document. The errors that Apply and Validate return for an invalid patch or
+// document wrap it.
 type FaultsError struct {
 	Faults []Fault
 }
 
-// Error returns the number of faults; the typed error around it lists them.
-func (e *FaultsError) Error() string { return fmt.Sprintf("%d faults in all", len(e.Faults)) }
+// Error returns the number of faults; the errkind error that wraps it lists them.
+func (e *FaultsError) Error() string { return fmt.Sprintf("%d validation faults", len(e.Faults)) }
 
 type faultList []Fault
 
@@ -37,7 +38,8 @@
 	*l = append(*l, Fault{Path: path, Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy})
 }
 
-// err returns nil without faults. The kind is that of the faults if they agree, else BadInput.
+// err returns nil if there are no faults. The kind of the error is that of the faults if they all have the same, otherwise
+// BadInput.
 func (l faultList) err(subject string) error {
 	if len(l) == 0 {
 		return nil
@@ -52,7 +54,7 @@
 	}
 	remedy := l[0].Remedy
 	if len(l) > 1 {
-		remedy = "correct every listed item; nothing was changed"
+		remedy = "correct every listed item; no change was made"
 	}
 	return errkind.Wrap(&FaultsError{Faults: l}, kind, remedy, "%s is refused: %s", subject, strings.Join(lines, "; "))
 }
--- a/config/guarantees.go
+++ b/config/guarantees.go
@@ -7,12 +7,13 @@
 	"github.com/redwingthread/redwingthread/invariant"
 )
 
-// checkGuarantees adds a fault for every failure domain whose guarantees cannot all be packed at once. Old is the valid
-// document that next was made from, nil if there is none: a failure domain where next has no fewer workers and promises
-// no more than old is packable because it was before. Drained workers count, since a drain is temporary.
+// checkGuarantees adds a fault for every failure domain whose workers cannot hold all its guarantees at the same time. old
+// is the valid document that next was derived from, or nil. The check skips a failure domain in which next keeps every
+// worker of old in its rack with at least its capacity and guarantees nothing more, because the packing of old is still
+// valid there. Drained workers count as capacity, since a drain is temporary.
 func checkGuarantees(faults *faultList, old, next *Document) {
 	for _, fd := range sortedKeys(next.FailureDomains) {
-		if old != nil && relaxes(old, next, fd) {
+		if old != nil && keepsPacking(old, next, fd) {
 			continue
 		}
 		checkDomainGuarantees(faults, next, fd)
@@ -28,34 +29,34 @@
 	if err != nil {
 		typed := errkind.As(err)
 		faults.addKind(errkind.Infeasible, "failure_domains/"+fd, typed.Remedy,
-			"guarantees cannot be packed in failure domain %s: %s", fd, typed.Message)
+			"no packing was found for the guarantees of failure domain %s: %s", fd, typed.Message)
 		return
 	}
 	err = CheckPacking(workers, cells)
-	invariant.Check(err == nil, invariant.GuaranteeReclaimable, "packing of failure domain %s is not sound: %v", fd, err)
+	invariant.Check(err == nil, invariant.GuaranteeReclaimable, "packing of failure domain %s is invalid: %v", fd, err)
 }
 
-// relaxes reports whether a packing of fd in old is one in next, too.
-func relaxes(old, next *Document, fd string) bool {
+// keepsPacking reports whether every valid packing of failure domain fd in old is also valid in next.
+func keepsPacking(old, next *Document, fd string) bool {
 	for id, w := range old.Workers {
 		if w.FailureDomain != fd {
 			continue
 		}
-		now, ok := next.Workers[id]
-		if !ok || now.FailureDomain != fd || now.Rack != w.Rack || !w.Capacity.Fits(now.Capacity) {
+		updated, ok := next.Workers[id]
+		if !ok || updated.FailureDomain != fd || updated.Rack != w.Rack || !w.Capacity.Fits(updated.Capacity) {
 			return false
 		}
 	}
 	for name, a := range next.Accounts {
-		if !slices.Equal(a.Guarantees, old.Accounts[name].Guarantees) && !promisesNoMore(old.Accounts[name], a, fd) {
+		if !slices.Equal(a.Guarantees, old.Accounts[name].Guarantees) && !guaranteesNoMore(old.Accounts[name], a, fd) {
 			return false
 		}
 	}
 	return true
 }
 
-// promisesNoMore reports whether every shape is guaranteed at most as often in fd as before.
-func promisesNoMore(old, next Account, fd string) bool {
+// guaranteesNoMore reports whether next guarantees at most as many copies of every shape in failure domain fd as old.
+func guaranteesNoMore(old, next Account, fd string) bool {
 	counts := map[Guarantee]int{}
 	add := func(a Account, sign int) {
 		for _, g := range a.Guarantees {
--- a/config/packing.go
+++ b/config/packing.go
@@ -9,25 +9,26 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// packBudget bounds the work of one Pack call in worker inspections, about 0.1 s. It is a count and not a time, because
-// the check is part of the fold and every process must come to the same result.
+// packBudget limits the work of one Pack call to this number of worker inspections, which take about 0.1 s. The limit is a
+// count and not a time because the check is part of the log's deterministic fold: every process must reach the same result.
 const packBudget = 20_000_000
 
-// packRounds bounds the number of orders that Pack tries.
+// packRounds is the largest number of demand orders that Pack tries.
 const packRounds = 64
 
-// Demand is one guaranteed gang: one copy of one guarantee.
+// Demand is the resource demand of one guaranteed gang, which is one copy of one guarantee.
 type Demand struct {
 	Account string
-	// Guarantee is the index into the account's guarantees, Copy counts from 0 to Count-1.
+	// Guarantee is the index into the account's guarantees; Copy counts from 0 to Count-1.
 	Guarantee int
 	Copy      int
 	Shape     resource.Shape
 }
 
-// Cell is the capacity set aside for a demand: the worker of each member, by member index.
+// Cell is the capacity to which one demand is bound.
 type Cell struct {
-	Demand  Demand
+	Demand Demand
+	// Workers holds the worker id of each member, by member index.
 	Workers []string
 }
 
@@ -58,101 +59,104 @@
 	return workers
 }
 
-// Pack places all demands on workers at once and returns one cell for each demand, in the order of demands. What it
-// returns fits: no worker holds more than its capacity and every gang is as close as its adjacency demands. Since the
-// problem is NP-hard, it may fail to find a packing that exists; the Infeasible error then names the account of a demand
-// that found no place. The result depends only on the arguments and their order.
+// Pack places all demands on workers simultaneously and returns one cell for each demand, in the order of demands.
+// The cells keep every worker within its capacity and satisfy the adjacency of every gang. Since the problem is
+// NP-hard, Pack may fail to find a packing that exists. It then returns an Infeasible error that names the account of a
+// demand that could not be placed. The result depends only on the arguments and their order.
 //
-// The result is part of the rule set: a change of the method needs a new RuleSet.
+// The result is part of the rule set: a change of the algorithm requires a new RuleSet.
 func Pack(workers []resource.Worker, demands []Demand) ([]Cell, error) {
 	p := newPacker(workers, demands)
-	if err := p.shortage(); err != nil {
+	if err := p.checkFeasible(); err != nil {
 		return nil, err
 	}
 	order := p.initialOrder()
-	firstFailed := -1
+	firstUnplaced := -1
 	for range packRounds {
-		failed := p.tryOrder(order)
-		if failed < 0 {
+		unplaced := p.tryOrder(order)
+		if unplaced < 0 {
 			return p.cells(), nil
 		}
-		if firstFailed < 0 {
-			firstFailed = failed
+		if firstUnplaced < 0 {
+			firstUnplaced = unplaced
 		}
 		if p.budget <= 0 {
 			break
 		}
-		// A demand that found no place is placed earlier in the next round.
-		promote(order, failed)
+		// The demand that could not be placed comes earlier in the next round.
+		promote(order, unplaced)
 	}
-	d := demands[firstFailed]
+	d := demands[firstUnplaced]
 	return nil, errkind.New(errkind.Infeasible, "guarantee less, relax the adjacency or add workers",
-		"account %s: no room for copy %d of guarantee %d (%s) next to all other guarantees",
-		d.Account, d.Copy+1, d.Guarantee, describe(d.Shape))
+		"account %s: no placement was found for copy %d of guarantee %d (%s) in addition to the other guarantees",
+		d.Account, d.Copy+1, d.Guarantee, formatShape(d.Shape))
 }
 
-// shortage returns an error if the demands need more than all workers have, or one needs more than any place can hold. It
-// names the reason, where a failed search could only name a demand.
-func (p *packer) shortage() error {
+// checkFeasible returns an Infeasible error if the demands exceed the total capacity of the workers, or if a demand does not
+// fit even on empty workers. The error states the reason, whereas a failed search can only name a demand.
+func (p *packer) checkFeasible() error {
 	var needed resource.Resources
-	held := map[resource.Shape]bool{}
+	feasible := map[resource.Shape]bool{}
 	for _, d := range p.demands {
-		if !held[d.Shape] && !p.holdsAlone(d.Shape) {
+		if !feasible[d.Shape] && !p.fitsEmptyWorkers(d.Shape) {
 			return errkind.New(errkind.Infeasible, "guarantee a smaller shape, relax the adjacency or add workers",
-				"account %s: guarantee %d (%s) has no room even on empty workers", d.Account, d.Guarantee, describe(d.Shape))
+				"account %s: guarantee %d (%s) does not fit even on empty workers", d.Account, d.Guarantee, formatShape(d.Shape))
 		}
-		held[d.Shape] = true
+		feasible[d.Shape] = true
 		needed = needed.Add(d.Shape.Total())
 		if !needed.Fits(p.total) {
 			return errkind.New(errkind.Infeasible, "guarantee less or add workers",
-				"account %s: with copy %d of guarantee %d, guarantees need %s of %s", d.Account, d.Copy+1, d.Guarantee,
-				amount(needed), amount(p.total))
+				"account %s: with copy %d of guarantee %d, all guarantees need %s, but the workers have %s",
+				d.Account, d.Copy+1, d.Guarantee, formatResources(needed), formatResources(p.total))
 		}
 	}
 	return nil
 }
 
-// holdsAlone reports whether empty workers hold the shape.
-func (p *packer) holdsAlone(s resource.Shape) bool {
-	p.empty()
+// fitsEmptyWorkers reports whether the shape fits when nothing else is placed. It resets the packer.
+func (p *packer) fitsEmptyWorkers(s resource.Shape) bool {
+	p.reset()
 	return p.place(s) != nil
 }
 
-// empty gives all capacity back.
-func (p *packer) empty() {
+// reset makes the full capacity of every worker available again.
+func (p *packer) reset() {
 	for i, w := range p.workers {
 		p.free[i] = w.Capacity
 	}
 }
 
-func amount(r resource.Resources) string {
+func formatResources(r resource.Resources) string {
 	return fmt.Sprintf("%d accelerators, %d milli-CPU, %d MB", r.Accelerators, r.MilliCPU, r.MemoryMB)
 }
 
-func describe(s resource.Shape) string {
-	return fmt.Sprintf("%d members of %s, adjacency %s", s.Members, amount(s.PerMember), s.Adjacency)
+func formatShape(s resource.Shape) string {
+	return fmt.Sprintf("%d members of %s, adjacency %s", s.Members, formatResources(s.PerMember), s.Adjacency)
 }
 
-// promote moves demand to half its position.
+// promote moves demand to half its current position in order.
 func promote(order []int, demand int) {
-	at := slices.Index(order, demand)
-	to := at / 2
-	copy(order[to+1:at+1], order[to:at])
+	from := slices.Index(order, demand)
+	to := from / 2
+	copy(order[to+1:from+1], order[to:from])
 	order[to] = demand
 }
 
-// packer holds one attempt to place all demands.
+// packer holds the state of one Pack call.
 type packer struct {
 	workers []resource.Worker
 	demands []Demand
 	// racks holds worker indexes by rack, both in the order of workers.
 	racks [][]int
-	all   []int
-	// total is the capacity of all workers, the unit in which amounts are compared.
-	total  resource.Resources
-	free   []resource.Resources
+	// all holds the index of every worker.
+	all []int
+	// total is the capacity of all workers combined; size compares amounts relative to it.
+	total resource.Resources
+	// free is the unused capacity of each worker, by worker index.
+	free []resource.Resources
+	// placed holds the worker index of each member, by demand index.
 	placed [][]int
-	// budget counts the worker inspections left.
+	// budget is the number of worker inspections left.
 	budget int
 }
 
@@ -160,23 +164,24 @@
 	p := &packer{workers: workers, demands: demands, budget: packBudget}
 	p.free = make([]resource.Resources, len(workers))
 	p.placed = make([][]int, len(demands))
-	byRack := map[string]int{}
+	rackIndex := map[string]int{}
 	for i, w := range workers {
 		p.total = p.total.Add(w.Capacity)
 		p.all = append(p.all, i)
-		at, ok := byRack[w.Rack]
+		rack, ok := rackIndex[w.Rack]
 		if !ok {
-			at = len(p.racks)
-			byRack[w.Rack] = at
+			rack = len(p.racks)
+			rackIndex[w.Rack] = rack
 			p.racks = append(p.racks, nil)
 		}
-		p.racks[at] = append(p.racks[at], i)
+		p.racks[rack] = append(p.racks[rack], i)
 	}
 	return p
 }
 
-// size compares amounts in millionths of the whole capacity, with the scarcest resource counting most. Integers are used
-// because fused floating point operations differ between processors.
+// size returns a measure of r relative to the total capacity. It adds the share of each resource in billionths, and counts the
+// largest share, that of the scarcest resource, four more times. It uses integers because fused floating-point operations give different results on different
+// processors.
 func (p *packer) size(r resource.Resources) int64 {
 	share := func(amount, total int64) int64 {
 		if total == 0 {
@@ -184,21 +189,22 @@
 		}
 		return amount * 1_000_000_000 / total
 	}
-	a := share(int64(r.Accelerators), int64(p.total.Accelerators))
-	c := share(r.MilliCPU, p.total.MilliCPU)
-	m := share(r.MemoryMB, p.total.MemoryMB)
-	return 4*max(a, c, m) + a + c + m
+	accelerators := share(int64(r.Accelerators), int64(p.total.Accelerators))
+	cpu := share(r.MilliCPU, p.total.MilliCPU)
+	memory := share(r.MemoryMB, p.total.MemoryMB)
+	return 4*max(accelerators, cpu, memory) + accelerators + cpu + memory
 }
 
-// unit is what must fit on one worker: the whole gang or one member.
-func unit(s resource.Shape) resource.Resources {
+// placementUnit returns the resources that must fit on one worker: those of the complete gang or of one member.
+func placementUnit(s resource.Shape) resource.Resources {
 	if s.Adjacency == resource.AdjacencyWorker {
 		return s.Total()
 	}
 	return s.PerMember
 }
 
-// initialOrder puts large units first, then the tighter adjacency, then large gangs.
+// initialOrder returns the demand indexes with the largest placement units first, then the tightest adjacency, then the
+// largest gangs.
 func (p *packer) initialOrder() []int {
 	tightness := map[resource.Adjacency]int{resource.AdjacencyWorker: 0, resource.AdjacencyRack: 1, resource.AdjacencyNone: 2}
 	order := make([]int, len(p.demands))
@@ -208,7 +214,7 @@
 	slices.SortStableFunc(order, func(x, y int) int {
 		a, b := p.demands[x].Shape, p.demands[y].Shape
 		return cmp.Or(
-			cmp.Compare(p.size(unit(b)), p.size(unit(a))),
+			cmp.Compare(p.size(placementUnit(b)), p.size(placementUnit(a))),
 			cmp.Compare(tightness[a.Adjacency], tightness[b.Adjacency]),
 			cmp.Compare(p.size(b.Total()), p.size(a.Total())),
 		)
@@ -216,9 +222,9 @@
 	return order
 }
 
-// tryOrder places the demands in order and returns the first that found no place, -1 if all did.
+// tryOrder places the demands in order. It returns the first demand that cannot be placed, or -1 if all are placed.
 func (p *packer) tryOrder(order []int) int {
-	p.empty()
+	p.reset()
 	for _, d := range order {
 		p.placed[d] = p.place(p.demands[d].Shape)
 		if p.placed[d] == nil {
@@ -228,7 +234,7 @@
 	return -1
 }
 
-// place returns the worker index of each member and takes the capacity, nil if there is no room.
+// place allocates capacity for a gang and returns the worker index of each member, or nil if the gang does not fit.
 func (p *packer) place(s resource.Shape) []int {
 	switch s.Adjacency {
 	case resource.AdjacencyWorker:
@@ -245,21 +251,21 @@
 	}
 }
 
-// placeInRack uses the rack that has the least left afterwards.
+// placeInRack places a gang in the rack that has the least free capacity among those that can hold the gang.
 func (p *packer) placeInRack(s resource.Shape) []int {
-	best, bestLeft := -1, int64(0)
+	best, bestSize := -1, int64(0)
 	for i, rack := range p.racks {
-		room, left := 0, resource.Resources{}
+		members, rackFree := 0, resource.Resources{}
 		for _, w := range rack {
-			room += fitting(p.free[w], s.PerMember, s.Members)
-			left = left.Add(p.free[w])
+			members += countFitting(p.free[w], s.PerMember, s.Members)
+			rackFree = rackFree.Add(p.free[w])
 		}
 		p.budget -= len(rack)
-		if room < s.Members {
+		if members < s.Members {
 			continue
 		}
-		if size := p.size(left); best < 0 || size < bestLeft {
-			best, bestLeft = i, size
+		if size := p.size(rackFree); best < 0 || size < bestSize {
+			best, bestSize = i, size
 		}
 	}
 	if best < 0 {
@@ -268,8 +274,8 @@
 	return p.placeAmong(p.racks[best], s)
 }
 
-// fitting returns how many copies of r fit into free, at most limit.
-func fitting(free, r resource.Resources, limit int) int {
+// countFitting returns how many copies of r fit into free, at most limit.
+func countFitting(free, r resource.Resources, limit int) int {
 	n := int64(limit)
 	if r.Accelerators > 0 {
 		n = min(n, int64(free.Accelerators/r.Accelerators))
@@ -283,18 +289,19 @@
 	return int(n)
 }
 
-// placeAmong places member by member on the worker with the best fit; on failure it gives everything back.
+// placeAmong places the members of a gang on the best-fitting candidates. If not all fit, it releases the allocated capacity
+// and returns nil.
 func (p *packer) placeAmong(candidates []int, s resource.Shape) []int {
 	members := make([]int, 0, s.Members)
 	for len(members) < s.Members {
 		w := p.bestFit(candidates, s.PerMember)
 		if w < 0 {
-			for _, taken := range members {
-				p.free[taken] = p.free[taken].Add(s.PerMember)
+			for _, allocated := range members {
+				p.free[allocated] = p.free[allocated].Add(s.PerMember)
 			}
 			return nil
 		}
-		for range fitting(p.free[w], s.PerMember, s.Members-len(members)) {
+		for range countFitting(p.free[w], s.PerMember, s.Members-len(members)) {
 			p.free[w] = p.free[w].Sub(s.PerMember)
 			members = append(members, w)
 		}
@@ -302,7 +309,7 @@
 	return members
 }
 
-// bestFit returns the candidate that can hold r and has the least free, -1 if none can.
+// bestFit returns the candidate with the least free capacity that can hold r, or -1 if there is none.
 func (p *packer) bestFit(candidates []int, r resource.Resources) int {
 	p.budget -= len(candidates)
 	best, bestSize := -1, int64(0)
@@ -328,7 +335,8 @@
 	return cells
 }
 
-// CheckPacking returns an error if cells overfill a worker, use an unknown one or break an adjacency.
+// CheckPacking returns an error if cells exceed the capacity of a worker, use an unknown worker, violate an adjacency or
+// omit a member.
 func CheckPacking(workers []resource.Worker, cells []Cell) error {
 	byID := make(map[string]resource.Worker, len(workers))
 	used := make(map[string]resource.Resources, len(workers))
@@ -343,12 +351,12 @@
 			w, ok := byID[id]
 			used[id] = used[id].Add(c.Demand.Shape.PerMember)
 			if !ok || !used[id].Fits(w.Capacity) {
-				return fmt.Errorf("worker %s is unknown or overfilled by account %s", id, c.Demand.Account)
+				return fmt.Errorf("worker %s is unknown, or its capacity is exceeded by account %s", id, c.Demand.Account)
 			}
 			first := byID[c.Workers[0]]
 			if c.Demand.Shape.Adjacency == resource.AdjacencyWorker && id != first.ID ||
 				c.Demand.Shape.Adjacency == resource.AdjacencyRack && w.Rack != first.Rack {
-				return fmt.Errorf("cell of account %s is not adjacent", c.Demand.Account)
+				return fmt.Errorf("cell of account %s violates its adjacency", c.Demand.Account)
 			}
 		}
 	}
--- a/config/packing_test.go
+++ b/config/packing_test.go
@@ -12,9 +12,10 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// planned returns the planned size in one failure domain: 840 workers with 970 accelerators, and the given share of the
-// capacity cut into guarantees of 150 accounts, so that a packing exists by construction.
-func planned(seed uint64, percent int) ([]resource.Worker, []Demand) {
+// plannedSizeDomain returns workers and demands of one failure domain at the planned size: 840 workers with 970 accelerators.
+// It divides each rack into gangs and makes the given percentage of them guarantees of 150 accounts, so that a packing exists
+// by construction.
+func plannedSizeDomain(seed uint64, percent int) ([]resource.Worker, []Demand) {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	var workers []resource.Worker
 	for i := range 840 {
@@ -27,34 +28,35 @@
 	}
 	var demands []Demand
 	for rack := range 105 {
-		// Each rack is cut into gangs over whole workers, each worker of a gang giving one member.
-		for at := 0; at < 8; {
-			members := 1 + rng.IntN(min(8-at, 4))
+		// Each rack is divided into gangs with one member on each of their workers; no two gangs share a worker.
+		for firstWorker := 0; firstWorker < 8; {
+			members := 1 + rng.IntN(min(8-firstWorker, 4))
 			shape := resource.Shape{Members: members, Adjacency: resource.AdjacencyRack,
 				PerMember: resource.Resources{Accelerators: 1, MilliCPU: 16_000 + rng.Int64N(16_000), MemoryMB: 32<<10 + rng.Int64N(32<<10)}}
 			if members == 1 {
 				shape.Adjacency = resource.AdjacencyWorker
 			}
 			if rng.IntN(100) < percent {
-				demands = append(demands, Demand{Account: fmt.Sprintf("a-%03d", (rack+at)%150), Copy: len(demands), Shape: shape})
+				demands = append(demands, Demand{Account: fmt.Sprintf("a-%03d", (rack+firstWorker)%150), Copy: len(demands), Shape: shape})
 			}
-			at += members
+			firstWorker += members
 		}
 	}
 	return workers, demands
 }
 
-// TestPackPlannedSize guards against a check that is too slow for the fold or refuses what has ample room.
+// TestPackPlannedSize guards against a packing check that is too slow for the fold of the configuration log, and against one
+// that finds no packing although there is ample capacity.
 func TestPackPlannedSize(t *testing.T) {
 	for _, percent := range []int{50, 90, 100} {
 		for seed := range uint64(5) {
-			workers, demands := planned(seed, percent)
+			workers, demands := plannedSizeDomain(seed, percent)
 			started := time.Now()
 			cells, err := Pack(workers, demands)
 			took := time.Since(started)
 			t.Logf("%d%% seed %d: %d demands, %v, err %v", percent, seed, len(demands), took, err)
 			if took > time.Second {
-				t.Errorf("took %v", took)
+				t.Errorf("Pack took %v", took)
 			}
 			if err == nil {
 				err = CheckPacking(workers, cells)
@@ -66,9 +68,9 @@
 	}
 }
 
-// TestPackIsSound guards against an accepted packing that overfills a worker or breaks an adjacency, against a result that
-// depends on anything but the arguments, and against a refusal without the account.
-func TestPackIsSound(t *testing.T) {
+// TestPackIsValidAndDeterministic guards against a packing that exceeds the capacity of a worker or violates an adjacency,
+// against a result that depends on anything but the arguments, and against an error of another kind than Infeasible.
+func TestPackIsValidAndDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var workers []resource.Worker
 		for i := range rapid.IntRange(0, 12).Draw(t, "workers") {
@@ -83,11 +85,11 @@
 		cells, err := Pack(workers, demands)
 		again, _ := Pack(workers, demands)
 		if fmt.Sprint(cells) != fmt.Sprint(again) {
-			t.Fatal("two calls differ")
+			t.Fatal("two calls with equal arguments returned different packings")
 		}
 		if err != nil {
 			if !errkind.Is(err, errkind.Infeasible) {
-				t.Fatalf("refusal has kind %s", errkind.KindOf(err))
+				t.Fatalf("error has kind %s, want infeasible", errkind.KindOf(err))
 			}
 			return
 		}
@@ -100,33 +102,34 @@
 	})
 }
 
-func drawResources(t *rapid.T, most int) resource.Resources {
+func drawResources(t *rapid.T, maxAmount int) resource.Resources {
 	return resource.Resources{
-		Accelerators: rapid.IntRange(0, most).Draw(t, "accelerators"),
-		MilliCPU:     rapid.Int64Range(1, int64(most)).Draw(t, "cpu"),
-		MemoryMB:     rapid.Int64Range(1, int64(most)).Draw(t, "memory"),
+		Accelerators: rapid.IntRange(0, maxAmount).Draw(t, "accelerators"),
+		MilliCPU:     rapid.Int64Range(1, int64(maxAmount)).Draw(t, "cpu"),
+		MemoryMB:     rapid.Int64Range(1, int64(maxAmount)).Draw(t, "memory"),
 	}
 }
 
-// TestCheckPacking shows that the witness check is not vacuous: it refuses overfilling, strangers and broken adjacency.
+// TestCheckPacking verifies that the check of a packing is effective: it rejects exceeded capacity, unknown workers, violated
+// adjacency and missing members.
 func TestCheckPacking(t *testing.T) {
 	workers := []resource.Worker{
 		{ID: "a", Rack: "1", Capacity: resource.Resources{Accelerators: 2}},
 		{ID: "b", Rack: "2", Capacity: resource.Resources{Accelerators: 2}},
 	}
-	shape := func(adjacency resource.Adjacency) Demand {
+	demand := func(adjacency resource.Adjacency) Demand {
 		return Demand{Shape: resource.Shape{Members: 2, Adjacency: adjacency, PerMember: resource.Resources{Accelerators: 1}}}
 	}
 	cases := map[string][]Cell{
-		"overfilled": {{shape("none"), []string{"a", "a"}}, {shape("none"), []string{"a", "b"}}},
-		"unknown":    {{shape("none"), []string{"a", "c"}}},
-		"two hosts":  {{shape("worker"), []string{"a", "b"}}},
-		"two racks":  {{shape("rack"), []string{"a", "b"}}},
-		"member":     {{shape("none"), []string{"a"}}},
+		"overfilled": {{demand("none"), []string{"a", "a"}}, {demand("none"), []string{"a", "b"}}},
+		"unknown":    {{demand("none"), []string{"a", "c"}}},
+		"two hosts":  {{demand("worker"), []string{"a", "b"}}},
+		"two racks":  {{demand("rack"), []string{"a", "b"}}},
+		"member":     {{demand("none"), []string{"a"}}},
 	}
 	for name, cells := range cases {
 		if CheckPacking(workers, cells) == nil {
-			t.Errorf("%s is accepted", name)
+			t.Errorf("invalid packing was accepted: %s", name)
 		}
 	}
 }
--- a/config/patch.go
+++ b/config/patch.go
@@ -10,22 +10,22 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// Limits of a patch and of a name.
+// Size limits of a patch and of its parts.
 const (
 	// MaxOps is the largest number of ops of one patch.
 	MaxOps = 4096
 	// MaxNameLength is the largest length of an item name in bytes.
 	MaxNameLength = 64
-	// MaxTextLength is the largest length of an author or reason in bytes.
+	// MaxTextLength is the largest length of an author or a reason in bytes.
 	MaxTextLength = 512
 )
 
-// OpKind is what an op does to the item at its path.
+// OpKind specifies what an op does to the item at its path.
 type OpKind string
 
 // The op kinds.
 const (
-	// OpSet adds the item or replaces it whole.
+	// OpSet adds the item or replaces it completely.
 	OpSet OpKind = "set"
 	// OpRemove deletes the item, which must exist.
 	OpRemove OpKind = "remove"
@@ -36,23 +36,24 @@
 	Op OpKind `json:"op" cbor:"op"`
 	// Path is "policy", "<section>/<name>" or "services/<name>/endpoints/<id>".
 	Path string `json:"path" cbor:"path"`
-	// Value is the JSON form of the item; used by set.
+	// Value is the JSON form of the item. Only OpSet uses it.
 	Value json.RawMessage `json:"value,omitempty" cbor:"value,omitempty"`
 }
 
-// Patch is a change against a numbered version.
+// Patch is a list of changes to one version of the configuration.
 type Patch struct {
-	// ID is chosen by the submitter; a second copy with the same id changes nothing.
+	// ID is chosen by the submitter. A second patch with the same id has no effect.
 	ID string `json:"id" cbor:"id"`
-	// Base is the version that the patch was written against.
+	// Base is the version that the patch applies to.
 	Base   uint64 `json:"base" cbor:"base"`
 	Author string `json:"author" cbor:"author"`
 	Reason string `json:"reason" cbor:"reason"`
 	Ops    []Op   `json:"ops" cbor:"ops"`
 }
 
-// Apply returns the document that patch makes of doc, one version later. It leaves doc unchanged. The error is a Conflict
-// if the base is not the version of doc, else it lists every fault of the patch and of the resulting document.
+// Apply applies patch to doc and returns the resulting document, whose version is one higher. It leaves doc unchanged. The
+// error is a Conflict if the base is not the version of doc. Otherwise it wraps a FaultsError with every fault of the patch
+// or, if the patch itself is valid, of the resulting document.
 func Apply(doc *Document, patch Patch) (*Document, error) {
 	if patch.Base != doc.Version {
 		return nil, errkind.New(errkind.Conflict,
@@ -79,8 +80,8 @@
 	return next, nil
 }
 
-// ApplyOps returns doc with ops applied and the given version, without validation of the result. It serves to rebuild
-// versions whose ops were accepted before.
+// ApplyOps returns doc with ops applied and the given version. It does not validate the result: it rebuilds versions whose
+// ops were accepted before. The error wraps a FaultsError.
 func ApplyOps(doc *Document, ops []Op, version uint64) (*Document, error) {
 	var faults faultList
 	next := clone(doc)
@@ -93,7 +94,7 @@
 
 func checkPatchHeader(faults *faultList, patch Patch) {
 	if !validName(patch.ID) {
-		faults.add("id", nameRemedy, "patch id %q is not a name", patch.ID)
+		faults.add("id", nameRemedy, "patch id %q is not a valid name", patch.ID)
 	}
 	if patch.Author == "" || len(patch.Author) > MaxTextLength {
 		faults.add("author", fmt.Sprintf("give the author in 1 to %d bytes", MaxTextLength), "author has %d bytes", len(patch.Author))
@@ -106,7 +107,7 @@
 	}
 }
 
-// clone copies the maps of doc; items are shared, since they are replaced whole and never changed.
+// clone copies doc and its maps. The items are shared, since they are replaced as a whole and never modified.
 func clone(doc *Document) *Document {
 	next := *doc
 	next.FailureDomains = cloneMap(doc.FailureDomains)
@@ -126,102 +127,104 @@
 	return next
 }
 
-// applyOp changes doc, whose maps belong to the caller.
+// applyOp modifies doc in place; the caller must own its maps. index is the position of the op in its patch.
 func applyOp(faults *faultList, doc *Document, index int, op Op) {
-	where := fmt.Sprintf("ops[%d] %s", index, op.Path)
+	opPath := fmt.Sprintf("ops[%d] %s", index, op.Path)
 	if op.Op != OpSet && op.Op != OpRemove {
-		faults.add(where, `use op "set" or "remove"`, "unknown op %q", op.Op)
+		faults.add(opPath, `use op "set" or "remove"`, "unknown op %q", op.Op)
 		return
 	}
 	parts := strings.Split(op.Path, "/")
 	if op.Path == "policy" {
-		applyPolicy(faults, doc, where, op)
+		applyPolicy(faults, doc, opPath, op)
 		return
 	}
 	if len(parts) == 4 && parts[0] == "services" && parts[2] == "endpoints" {
-		applyEndpoint(faults, doc, where, parts[1], parts[3], op)
+		applyEndpoint(faults, doc, opPath, parts[1], parts[3], op)
 		return
 	}
 	if len(parts) != 2 {
-		faults.add(where, pathRemedy, "unknown path")
+		faults.add(opPath, pathRemedy, "unknown path")
 		return
 	}
 	name := parts[1]
 	switch parts[0] {
 	case "failure_domains":
-		applyItem(faults, doc.FailureDomains, where, name, op, func(v *FailureDomain) *string { return &v.Name })
+		applyItem(faults, doc.FailureDomains, opPath, name, op, func(v *FailureDomain) *string { return &v.Name })
 	case "workers":
-		applyItem(faults, doc.Workers, where, name, op, func(v *resource.Worker) *string { return &v.ID })
+		applyItem(faults, doc.Workers, opPath, name, op, func(v *resource.Worker) *string { return &v.ID })
 	case "accounts":
-		applyItem(faults, doc.Accounts, where, name, op, func(v *Account) *string { return &v.Name })
+		applyItem(faults, doc.Accounts, opPath, name, op, func(v *Account) *string { return &v.Name })
 	case "services":
-		applyItem(faults, doc.Services, where, name, op, func(v *Service) *string { return &v.Name })
+		applyItem(faults, doc.Services, opPath, name, op, func(v *Service) *string { return &v.Name })
 	case "operators":
-		applyItem(faults, doc.Operators, where, name, op, func(v *Operator) *string { return &v.Name })
+		applyItem(faults, doc.Operators, opPath, name, op, func(v *Operator) *string { return &v.Name })
 	case "drains":
-		applyItem(faults, doc.Drains, where, name, op, func(v *Drain) *string { return &v.VM })
+		applyItem(faults, doc.Drains, opPath, name, op, func(v *Drain) *string { return &v.VM })
 	default:
-		faults.add(where, pathRemedy, "unknown section %q", parts[0])
+		faults.add(opPath, pathRemedy, "unknown section %q", parts[0])
 	}
 }
 
 const pathRemedy = "use policy, failure_domains/F, workers/W, accounts/A, operators/O, drains/V, services/S or " +
 	"services/S/endpoints/E"
 
-func applyPolicy(faults *faultList, doc *Document, where string, op Op) {
+func applyPolicy(faults *faultList, doc *Document, opPath string, op Op) {
 	if op.Op == OpRemove {
-		faults.add(where, "set the policy to the values wanted", "the policy cannot be removed")
+		faults.add(opPath, "set the policy to the desired values", "the policy cannot be removed")
 		return
 	}
 	var policy Policy
-	if decodeValue(faults, where, op.Value, &policy) {
+	if decodeValue(faults, opPath, op.Value, &policy) {
 		doc.Policy = policy
 	}
 }
 
-func applyEndpoint(faults *faultList, doc *Document, where, service, id string, op Op) {
+func applyEndpoint(faults *faultList, doc *Document, opPath, service, id string, op Op) {
 	s, ok := doc.Services[service]
 	if !ok {
-		faults.add(where, "set services/"+service+" first", "service %q is not configured", service)
+		faults.add(opPath, "set services/"+service+" first", "service %q is not configured", service)
 		return
 	}
 	s.Endpoints = cloneMap(s.Endpoints)
-	applyItem(faults, s.Endpoints, where, id, op, func(v *Endpoint) *string { return &v.ID })
+	applyItem(faults, s.Endpoints, opPath, id, op, func(v *Endpoint) *string { return &v.ID })
 	doc.Services[service] = s
 }
 
-// applyItem sets or removes one item; key returns the item's own name, which must be empty or the name in the path.
-func applyItem[V any](faults *faultList, items map[string]V, where, name string, op Op, key func(*V) *string) {
+// applyItem sets or removes one item. nameField returns a pointer to the item's name, which must be empty or equal to the
+// name in the path.
+func applyItem[V any](faults *faultList, items map[string]V, opPath, name string, op Op, nameField func(*V) *string) {
 	if op.Op == OpRemove {
 		if _, ok := items[name]; !ok {
-			faults.add(where, "leave the op out or correct the name", "there is nothing to remove")
+			faults.add(opPath, "omit the op or correct the name", "there is nothing to remove")
 			return
 		}
 		delete(items, name)
 		return
 	}
 	var value V
-	if !decodeValue(faults, where, op.Value, &value) {
+	if !decodeValue(faults, opPath, op.Value, &value) {
 		return
 	}
-	own := key(&value)
-	if *own != "" && *own != name {
-		faults.add(where, "make the name in the value equal to that in the path", "value is named %q", *own)
+	itemName := nameField(&value)
+	if *itemName != "" && *itemName != name {
+		faults.add(opPath, "use the same name in the value and in the path", "value is named %q", *itemName)
 		return
 	}
-	*own = name
+	*itemName = name
 	items[name] = value
 }
 
-func decodeValue(faults *faultList, where string, raw json.RawMessage, into any) bool {
+// decodeValue decodes the value of an op into into and reports whether it succeeded.
+func decodeValue(faults *faultList, opPath string, raw json.RawMessage, into any) bool {
 	if err := decodeStrict(raw, into); err != nil {
-		faults.add(where, "give the item as a JSON object with known fields", "value cannot be read: %v", err)
+		faults.add(opPath, "provide the item as a JSON object with known fields", "value cannot be decoded: %v", err)
 		return false
 	}
 	return true
 }
 
-// decodeStrict reads exactly one JSON value with known fields only.
+// decodeStrict decodes raw, which must hold exactly one JSON value without unknown fields.
 func decodeStrict(raw []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
@@ -229,23 +232,24 @@
 		return err
 	}
 	if decoder.More() {
-		return fmt.Errorf("there is text after the value")
+		return fmt.Errorf("unexpected data after the JSON value")
 	}
 	return nil
 }
 
-// DecodeDocument reads a document from JSON, refuses unknown fields, and validates it.
+// DecodeDocument decodes a document from JSON, rejects unknown fields, and normalises and validates the document. An error
+// has the kind BadInput or one that Validate returns.
 func DecodeDocument(raw []byte) (*Document, error) {
 	var doc Document
 	if err := decodeStrict(raw, &doc); err != nil {
-		return nil, errkind.Wrap(err, errkind.BadInput, "correct the JSON", "document cannot be read")
+		return nil, errkind.Wrap(err, errkind.BadInput, "correct the JSON", "cannot decode configuration document")
 	}
 	normalised := Normalise(&doc)
 	return normalised, Validate(normalised)
 }
 
-// Normalise returns doc with the names of items filled in from their keys and without nil maps, so that equal
-// configurations have equal encodings.
+// Normalise returns a copy of doc in which empty item names are set from the map keys and nil maps are replaced by empty
+// ones, so that equal configurations have equal encodings.
 func Normalise(doc *Document) *Document {
 	next := clone(doc)
 	fillNames(next.FailureDomains, func(v *FailureDomain) *string { return &v.Name })
@@ -262,10 +266,10 @@
 	return next
 }
 
-func fillNames[V any](items map[string]V, key func(*V) *string) {
+func fillNames[V any](items map[string]V, nameField func(*V) *string) {
 	for name, value := range items {
-		if own := key(&value); *own == "" {
-			*own = name
+		if itemName := nameField(&value); *itemName == "" {
+			*itemName = name
 		}
 		items[name] = value
 	}
