--- a/configlog/catchup.go
+++ b/configlog/catchup.go
@@ -12,12 +12,14 @@
 	"github.com/redwingthread/redwingthread/invariant"
 )
 
-// peersPerRound bounds the peers asked at once, to keep the cost of an outage independent of the number of processes.
+// peersPerRound is the largest number of peers queried at once. It keeps the cost of an outage of the log independent
+// of the number of processes.
 const peersPerRound = 4
 
-func checkMonotone(held, next *config.Document) bool {
-	return invariant.Check(held == nil || next.Version >= held.Version, invariant.ConfigurationMonotone,
-		"a process that holds version %d was given a lower one", versionOf(held))
+// checkMonotone reports whether next may replace current and records an invariant violation if its version is lower.
+func checkMonotone(current, next *config.Document) bool {
+	return invariant.Check(current == nil || next.Version >= current.Version, invariant.ConfigurationMonotone,
+		"a process with configuration version %d was given a lower version", versionOf(current))
 }
 
 func versionOf(doc *config.Document) uint64 {
@@ -27,39 +29,40 @@
 	return doc.Version
 }
 
-// start finds the first state. A complete log needs no help; with an empty or truncated one the peers are asked before
-// the process concludes that there is no configuration.
-func (f *Follower) start(ctx context.Context, resp infra.ReadResponse) error {
+// findInitialState sets the first state from the log or from a peer. A complete log suffices. If the log is empty or
+// truncated, it queries the peers before it concludes that there is no configuration.
+func (f *Follower) findInitialState(ctx context.Context, resp infra.ReadResponse) error {
 	if resp.Oldest == 0 && resp.Next > 0 {
-		f.begin(NewState(), resp.Next)
+		f.setInitialState(NewState(), resp.Next)
 		return nil
 	}
-	if f.askState(ctx) {
+	if f.fetchStateFromPeers(ctx) {
 		return nil
 	}
 	if resp.Next == 0 {
-		f.begin(NewState(), 0)
+		f.setInitialState(NewState(), 0)
 		return nil
 	}
-	if state, err := f.scanSnapshot(ctx, resp.Oldest); err != nil || state != nil {
+	if state, err := f.findSnapshotInLog(ctx, resp.Oldest); err != nil || state != nil {
 		if state != nil {
-			f.begin(state, resp.Next)
+			f.setInitialState(state, resp.Next)
 		}
 		return err
 	}
-	if f.gapAge() < f.settings.GapGrace || !f.everyPeerEmpty(ctx) {
+	if f.gapAge() < f.settings.GapGrace || !f.confirmNoPeerHasConfig(ctx) {
 		return errkind.New(errkind.Unavailable, "wait for a peer that has the configuration",
-			"log begins at offset %d without a snapshot", resp.Oldest)
+			"log starts at offset %d and contains no snapshot", resp.Oldest)
 	}
-	// Nobody has a configuration, so an initialise record may make one.
+	// No process has a configuration, so an initialise record may create one.
 	state := NewState()
 	state.SkipTo(resp.Oldest)
-	f.begin(state, 0)
+	f.setInitialState(state, 0)
 	return nil
 }
 
-// begin sets the first state, unless a peer's was taken over meanwhile. Tail is the end of the log.
-func (f *Follower) begin(state *State, tail uint64) {
+// setInitialState sets the first state, unless the state of a peer has been adopted in the meantime. tail is the end of
+// the log.
+func (f *Follower) setInitialState(state *State, tail uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state != nil {
@@ -68,12 +71,13 @@
 	f.state = state
 	f.startTail, f.startedAt = tail, time.Now()
 	f.gapSince = time.Time{}
-	f.wake()
+	f.notifyWaiters()
 	f.publish()
 }
 
-// scanSnapshot reads the log from oldest to its end and returns the newest state to start from, nil if there is none.
-func (f *Follower) scanSnapshot(ctx context.Context, oldest uint64) (*State, error) {
+// findSnapshotInLog reads the log from oldest to its end and returns the state of the newest snapshot that a fold can
+// start from, or nil if there is none. It returns an error if the log cannot be read or records expire during the read.
+func (f *Follower) findSnapshotInLog(ctx context.Context, oldest uint64) (*State, error) {
 	var found *State
 	from := oldest
 	for {
@@ -82,7 +86,7 @@
 			return nil, err
 		}
 		if resp.Oldest > oldest {
-			return nil, errkind.New(errkind.Unavailable, "read again", "records expired while the log was read")
+			return nil, errkind.New(errkind.Unavailable, "read the log again", "records expired while the log was read")
 		}
 		if state := FromRecords(oldest, resp.Records); state != nil {
 			found = state
@@ -94,21 +98,21 @@
 	}
 }
 
-// closeGap continues after the next records expired unread: with records or the state of a peer, else with a snapshot in
-// the log, else, after GapGrace, with the state held.
+// closeGap continues after the next records have expired unread. It uses the records or the state of a peer, otherwise
+// a snapshot in the log, otherwise, after GapGrace, the current state.
 func (f *Follower) closeGap(ctx context.Context, oldest uint64) error {
-	f.askRecords(ctx)
-	if f.nextOffset() >= oldest || f.askState(ctx) {
+	f.fetchRecordsFromPeers(ctx)
+	if f.nextOffset() >= oldest || f.fetchStateFromPeers(ctx) {
 		return nil
 	}
-	state, err := f.scanSnapshot(ctx, oldest)
+	state, err := f.findSnapshotInLog(ctx, oldest)
 	if err != nil {
 		return err
 	}
-	if state != nil && f.replace(state) {
+	if state != nil && f.replaceState(state) {
 		return nil
 	}
-	if !f.maySkip(ctx) {
+	if !f.canSkipGap(ctx) {
 		return errkind.New(errkind.Unavailable, "wait for the snapshot of another process",
 			"records %d to %d expired before they were read", f.nextOffset(), oldest)
 	}
@@ -120,23 +124,24 @@
 	f.settings.Logger.Error().Uint64("from", f.state.Next).Uint64("to", oldest).Msg("configuration records expired unread")
 	f.state.SkipTo(oldest)
 	metricSkipped.Inc(1)
-	f.relay.clear()
+	f.recordCache.clear()
 	f.gapSince = time.Time{}
-	f.wake()
+	f.notifyWaiters()
 	return nil
 }
 
-// maySkip reports whether this process may carry its state on over expired records. Another process may have read them
-// and accepted a higher version, so a process that does not hear from every peer waits much longer for that one's snapshot.
-func (f *Follower) maySkip(ctx context.Context) bool {
+// canSkipGap reports whether this process may skip the expired records and continue with its current state. Another
+// process may have read them and accepted a higher version. Therefore, unless every peer responds that it is not ahead,
+// this process waits much longer (IsolatedGapGrace) for a snapshot of such a process.
+func (f *Follower) canSkipGap(ctx context.Context) bool {
 	missing := f.gapAge()
 	if missing < f.settings.GapGrace {
 		return false
 	}
-	return missing >= f.settings.IsolatedGapGrace || f.everyPeerAnswers(ctx)
+	return missing >= f.settings.IsolatedGapGrace || f.confirmNoPeerAhead(ctx)
 }
 
-// gapAge returns for how long the next records have been missing from the log.
+// gapAge returns how long the next records have been missing from the log. The first call starts the measurement.
 func (f *Follower) gapAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,39 +151,40 @@
 	return time.Since(f.gapSince)
 }
 
-// everyPeerAnswers asks each peer and reports whether all answered that they hold nothing behind this state.
-func (f *Follower) everyPeerAnswers(ctx context.Context) bool {
+// confirmNoPeerAhead queries each peer and reports whether all responded that they hold no records after this state.
+func (f *Follower) confirmNoPeerAhead(ctx context.Context) bool {
 	peers := f.settings.Peers()
 	next := f.nextOffset()
-	return f.askAll(ctx, peers, func(ctx context.Context, p Peer) bool {
+	return f.queryPeers(ctx, peers, func(ctx context.Context, p Peer) bool {
 		resp, err := p.FetchRecords(ctx, inner.FetchRecords{From: next, Limit: 1})
 		return err == nil && resp.Next <= next
 	}) == len(peers)
 }
 
-// followPeers asks peers while the log does not respond, while there is no configuration, or after a hint.
-func (f *Follower) followPeers(ctx context.Context) {
+// syncWithPeers queries peers while the log does not respond, while there is no configuration, and after a heartbeat
+// that reports a higher offset.
+func (f *Follower) syncWithPeers(ctx context.Context) {
 	ticker := time.NewTicker(f.settings.PeerPeriod)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-f.wakePeers:
+		case <-f.peerSyncRequested:
 		case <-ticker.C:
 		}
-		if !f.needsPeers() {
+		if !f.needsPeerSync() {
 			continue
 		}
 		if f.started() && f.Document() != nil {
-			f.askRecords(ctx)
+			f.fetchRecordsFromPeers(ctx)
 		} else {
-			f.askState(ctx)
+			f.fetchStateFromPeers(ctx)
 		}
 		boottime.Sleep(ctx, f.settings.PeerPeriod/2)
 	}
 }
 
-func (f *Follower) needsPeers() bool {
+func (f *Follower) needsPeerSync() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state == nil || f.state.Doc == nil || f.hint > f.state.Next {
@@ -187,26 +193,28 @@
 	return f.logError != nil || time.Since(f.lastRead) > f.settings.PollWait+f.settings.PeerPeriod
 }
 
-func (f *Follower) askPeersSoon() {
+// requestPeerSync makes syncWithPeers run its next round without waiting for the ticker.
+func (f *Follower) requestPeerSync() {
 	select {
-	case f.wakePeers <- struct{}{}:
+	case f.peerSyncRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Hint tells that a peer has folded up to next, as its heartbeat says.
+// Hint records that a peer's heartbeat reports next as the offset of the next record that it will fold. If next is
+// after this follower's state, the follower queries its peers.
 func (f *Follower) Hint(next uint64) {
 	f.mu.Lock()
 	f.hint = max(f.hint, next)
 	behind := f.state == nil || f.hint > f.state.Next
 	f.mu.Unlock()
 	if behind {
-		f.askPeersSoon()
+		f.requestPeerSync()
 	}
 }
 
-// somePeers returns a random choice of peers.
-func (f *Follower) somePeers() []Peer {
+// randomPeers returns up to peersPerRound randomly chosen peers.
+func (f *Follower) randomPeers() []Peer {
 	peers := append([]Peer(nil), f.settings.Peers()...)
 	f.random.mu.Lock()
 	defer f.random.mu.Unlock()
@@ -214,14 +222,15 @@
 	return peers[:min(len(peers), peersPerRound)]
 }
 
-// askAll calls ask for each peer at once, each with its own time limit, and returns the number of true answers.
-func (f *Follower) askAll(ctx context.Context, peers []Peer, ask func(context.Context, Peer) bool) int {
+// queryPeers calls query for all peers concurrently, each with its own timeout, and returns how many calls returned
+// true.
+func (f *Follower) queryPeers(ctx context.Context, peers []Peer, query func(context.Context, Peer) bool) int {
 	results := make(chan bool, len(peers))
 	for _, p := range peers {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, f.settings.CallTimeout)
 			defer cancel()
-			results <- ask(ctx, p)
+			results <- query(ctx, p)
 		}()
 	}
 	count := 0
@@ -233,62 +242,64 @@
 	return count
 }
 
-// askRecords takes over records of peers behind the state, or a peer's state if it no longer holds them. A hint that no
-// asked peer bears out is forgotten; the next heartbeat repeats it.
-func (f *Follower) askRecords(ctx context.Context) {
-	peers := f.somePeers()
+// fetchRecordsFromPeers folds the records after the state that peers hold, or adopts the state of a peer that no longer
+// holds them. If all queried peers respond and none has more, it clears the hint; the next heartbeat sets it again.
+func (f *Follower) fetchRecordsFromPeers(ctx context.Context) {
+	peers := f.randomPeers()
 	before := f.nextOffset()
-	answers := f.askAll(ctx, peers, func(ctx context.Context, p Peer) bool {
+	responses := f.queryPeers(ctx, peers, func(ctx context.Context, p Peer) bool {
 		from := f.nextOffset()
 		resp, err := p.FetchRecords(ctx, inner.FetchRecords{From: from, Limit: readLimit})
 		if err != nil {
 			return false
 		}
 		if resp.Oldest > from {
-			return f.takeState(ctx, p)
+			return f.adoptPeerState(ctx, p)
 		}
 		f.fold(resp.Records)
 		return true
 	})
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if answers == len(peers) && f.state.Next == before {
+	if responses == len(peers) && f.state.Next == before {
 		f.hint = 0
 	}
 }
 
-// askState takes over the state of a peer and reports whether one was.
-func (f *Follower) askState(ctx context.Context) bool {
-	return f.askAll(ctx, f.somePeers(), f.takeState) > 0
+// fetchStateFromPeers queries peers for their states and reports whether it adopted one.
+func (f *Follower) fetchStateFromPeers(ctx context.Context) bool {
+	return f.queryPeers(ctx, f.randomPeers(), f.adoptPeerState) > 0
 }
 
-func (f *Follower) takeState(ctx context.Context, p Peer) bool {
+// adoptPeerState fetches the state of a peer and reports whether it replaced the current state.
+func (f *Follower) adoptPeerState(ctx context.Context, p Peer) bool {
 	resp, err := p.FetchState(ctx)
 	if err != nil || len(resp.State) == 0 {
 		return false
 	}
 	state, err := DecodeState(resp.State)
 	if err != nil {
-		f.settings.Logger.Warn().Err(err).Str("peer", p.ID()).Msg("state of a peer cannot be used")
+		f.settings.Logger.Warn().Err(err).Str("peer", p.ID()).Msg("cannot use configuration state of peer")
 		return false
 	}
-	if !f.replace(state) {
+	if !f.replaceState(state) {
 		return false
 	}
 	metricFromPeers.Inc(1)
 	return true
 }
 
-// everyPeerEmpty reports whether each peer answered that it has no configuration.
-func (f *Follower) everyPeerEmpty(ctx context.Context) bool {
+// confirmNoPeerHasConfig queries each peer and reports whether all responded that they have no configuration.
+func (f *Follower) confirmNoPeerHasConfig(ctx context.Context) bool {
 	peers := f.settings.Peers()
-	return f.askAll(ctx, peers, func(ctx context.Context, p Peer) bool {
+	return f.queryPeers(ctx, peers, func(ctx context.Context, p Peer) bool {
 		resp, err := p.FetchState(ctx)
 		return err == nil && len(resp.State) == 0
 	}) == len(peers)
 }
 
-// FetchRecords answers a peer with the records that are kept.
+// FetchRecords returns cached records for a peer, starting at req.From. If the cache does not reach back that far, the
+// response has no records and its Oldest is above req.From.
 func (f *Follower) FetchRecords(req inner.FetchRecords) inner.FetchRecordsResponse {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -296,22 +307,23 @@
 		return inner.FetchRecordsResponse{}
 	}
 	limit := min(max(req.Limit, 1), readLimit)
-	return f.relay.fetch(req.From, f.state.Next, limit)
+	return f.recordCache.fetch(req.From, f.state.Next, limit)
 }
 
-// FetchState answers a peer with the folded state.
+// FetchState returns the encoded state for a peer. It is empty if there is no configuration.
 func (f *Follower) FetchState() (inner.FetchStateResponse, error) {
 	raw, err := EncodeState(f.State())
 	return inner.FetchStateResponse{State: raw}, err
 }
 
-// relay keeps the newest records, which are contiguous.
-type relay struct {
+// recordCache holds the newest records for peers. Their offsets are contiguous.
+type recordCache struct {
 	records []infra.Record
 	bytes   int
 }
 
-func (r *relay) add(record infra.Record, limit int) {
+// add appends a record and drops the oldest ones while their data exceeds limit bytes.
+func (r *recordCache) add(record infra.Record, limit int) {
 	r.records = append(r.records, record)
 	r.bytes += len(record.Data)
 	for r.bytes > limit && len(r.records) > 0 {
@@ -320,10 +332,10 @@
 	}
 }
 
-func (r *relay) clear() { r.records, r.bytes = nil, 0 }
+func (r *recordCache) clear() { r.records, r.bytes = nil, 0 }
 
-// fetch returns up to limit records from an offset on; next is that of the state.
-func (r *relay) fetch(from, next uint64, limit int) inner.FetchRecordsResponse {
+// fetch returns up to limit records starting at offset from. next is the offset of the next record of the state.
+func (r *recordCache) fetch(from, next uint64, limit int) inner.FetchRecordsResponse {
 	resp := inner.FetchRecordsResponse{Oldest: next, Next: next}
 	if len(r.records) == 0 {
 		return resp
--- a/configlog/check_test.go
+++ b/configlog/check_test.go
@@ -11,82 +11,83 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// inForceBound is the requirement: an accepted version is in force on reachable VMs within 8 s.
+// inForceBound is the requirement: an accepted version is in force on all reachable VMs within 8 s.
 const inForceBound = 8 * time.Second
 
-// truth is what the log's order makes of the records, computed without State.
-type truth struct {
+// reference holds the outcomes that follow from the order of the log's records. It is computed without State.
+type reference struct {
 	version  uint64
-	ids      map[string]verdict
-	accepted []acceptance
-	// voided counts the patches in records that expired unread.
-	voided int
+	ids      map[string]expectedDecision
+	accepted []acceptedPatch
+	// skippedPatches counts the patches in records that expired unread.
+	skippedPatches int
 }
 
-type verdict struct {
+type expectedDecision struct {
 	outcome Outcome
 	version uint64
 }
 
-type acceptance struct {
+type acceptedPatch struct {
 	id      string
 	version uint64
 	at      time.Time
-	// behindGap marks a record that no process could judge before the gap in front of it was closed.
-	behindGap bool
+	// afterGap marks a record that no process could fold before the gap preceding it was closed.
+	afterGap bool
 }
 
-// tell goes through the whole history, expired records included. Records in a skipped range have no effect.
-func (c *cluster) tell(valid map[string]bool) *truth {
-	tr := &truth{ids: map[string]verdict{}}
+// expectedOutcomes returns the outcomes that follow from all records of the log, including expired ones. Records in a
+// skipped range have no effect.
+func (c *cluster) expectedOutcomes(valid map[string]bool) *reference {
+	ref := &reference{ids: map[string]expectedDecision{}}
 	initialised := false
-	void, behindGap := c.skipped()
+	inSkippedRange, afterGap := c.skippedRecords()
 	for i, raw := range c.log.records {
 		r, err := decode(raw.Data)
 		switch {
 		case err != nil:
-			c.violate("record %d cannot be read: %v", i, err)
+			c.addViolation("record %d cannot be decoded: %v", i, err)
 		case r.Initialise != nil:
 			initialised = true
-		case r.Withdraw != nil && void[i]:
+		case r.Withdraw != nil && inSkippedRange[i]:
 		case r.Withdraw != nil:
-			if _, known := tr.ids[r.Withdraw.PatchID]; !known {
-				tr.ids[r.Withdraw.PatchID] = verdict{Refused, tr.version}
+			if _, known := ref.ids[r.Withdraw.PatchID]; !known {
+				ref.ids[r.Withdraw.PatchID] = expectedDecision{Refused, ref.version}
 			}
-		case r.Patch != nil && void[i]:
-			tr.voided++
+		case r.Patch != nil && inSkippedRange[i]:
+			ref.skippedPatches++
 		case r.Patch != nil:
-			if _, known := tr.ids[r.Patch.ID]; known {
+			if _, known := ref.ids[r.Patch.ID]; known {
 				continue
 			}
-			tr.ids[r.Patch.ID] = verdict{Refused, tr.version}
-			if initialised && r.Patch.Base == tr.version && valid[r.Patch.ID] {
-				tr.version++
-				tr.ids[r.Patch.ID] = verdict{Accepted, tr.version}
-				tr.accepted = append(tr.accepted, acceptance{r.Patch.ID, tr.version, c.log.times[i], behindGap[i]})
+			ref.ids[r.Patch.ID] = expectedDecision{Refused, ref.version}
+			if initialised && r.Patch.Base == ref.version && valid[r.Patch.ID] {
+				ref.version++
+				ref.ids[r.Patch.ID] = expectedDecision{Accepted, ref.version}
+				ref.accepted = append(ref.accepted, acceptedPatch{r.Patch.ID, ref.version, c.log.times[i], afterGap[i]})
 			}
 		}
 	}
-	return tr
+	return ref
 }
 
-// skipped reports for each record whether a snapshot says that it expired unread, and whether it was appended before the
-// first snapshot that says so.
-func (c *cluster) skipped() (void, behindGap []bool) {
-	void, behindGap = make([]bool, len(c.log.records)), make([]bool, len(c.log.records))
+// skippedRecords reports for each record whether it is in a skipped range of a snapshot, and whether it lies between a
+// skipped range and the snapshot that announces it.
+func (c *cluster) skippedRecords() (inSkippedRange, afterGap []bool) {
+	inSkippedRange, afterGap = make([]bool, len(c.log.records)), make([]bool, len(c.log.records))
 	for _, raw := range c.log.records {
 		r, err := decode(raw.Data)
 		if err != nil || r.Snapshot == nil || r.Snapshot.Skipped == nil {
 			continue
 		}
 		for o := r.Snapshot.Skipped.From; o < r.Snapshot.Skipped.To; o++ {
-			void[o] = true
+			inSkippedRange[o] = true
 		}
 		for o := r.Snapshot.Skipped.To; o < raw.Offset; o++ {
-			behindGap[o] = true
+			afterGap[o] = true
 		}
 	}
-	return void, behindGap
+	return inSkippedRange, afterGap
 }
 
 // firstInForce returns the first time at which any follower had a version in force.
@@ -102,6 +103,7 @@
 	return first
 }
 
+// check runs all checks and adds their results to res.
 func (c *cluster) check(res *result) {
 	valid := map[string]bool{}
 	for _, op := range res.operations {
@@ -109,46 +111,48 @@
 			valid[op.id] = op.valid
 		}
 	}
-	tr := c.tell(valid)
-	res.accepted, res.voided = len(tr.accepted), tr.voided
-	c.checkDecisions(res, tr)
-	c.checkFollowers(tr)
-	c.checkDelays(res, tr)
-	if !c.linearizable(res.operations, tr) {
-		c.violate("the history of the configuration register is not linearizable")
+	ref := c.expectedOutcomes(valid)
+	res.accepted, res.skippedPatches = len(ref.accepted), ref.skippedPatches
+	c.checkDecisions(res, ref)
+	c.checkFollowers(ref)
+	c.checkDelays(res, ref)
+	if !c.linearizable(res.operations, ref) {
+		c.addViolation("the history of the configuration register is not linearizable")
 	}
 	res.violations = c.violations
 }
 
-// checkDecisions compares what operators were told with the log's order.
-func (c *cluster) checkDecisions(res *result, tr *truth) {
+// checkDecisions compares the decisions that operators received with those that follow from the log.
+func (c *cluster) checkDecisions(res *result, ref *reference) {
 	for _, op := range res.operations {
 		d := op.decision
 		if op.kind == "read" || d.Outcome == Unknown {
 			continue
 		}
-		told := tr.ids[op.id]
-		if d.Outcome == Accepted && told != (verdict{Accepted, d.Version}) {
-			c.violate("%s %s was told accepted as version %d, the log says %v", op.kind, op.id, d.Version, told)
+		expected := ref.ids[op.id]
+		if d.Outcome == Accepted && expected != (expectedDecision{Accepted, d.Version}) {
+			c.addViolation("%s %s was reported as accepted as version %d, the log says %v", op.kind, op.id, d.Version, expected)
 		}
-		if d.Outcome == Refused && told.outcome == Accepted {
-			c.violate("%s %s was told refused (%v), the log says accepted as version %d", op.kind, op.id, d.Err(), told.version)
+		if d.Outcome == Refused && expected.outcome == Accepted {
+			c.addViolation("%s %s was reported as refused (%v), the log says accepted as version %d",
+				op.kind, op.id, d.Err(), expected.version)
 		}
 	}
 }
 
-// checkFollowers checks that no follower reverts, that equal versions are equal documents, and that all end alike.
-func (c *cluster) checkFollowers(tr *truth) {
+// checkFollowers checks that no follower goes back to a lower version, that equal versions have equal documents, and
+// that all followers end with the version that follows from the log.
+func (c *cluster) checkFollowers(ref *reference) {
 	digests := map[uint64]uint64{}
 	for _, run := range c.incarnations {
 		last := uint64(0)
 		for _, s := range run.versions {
 			if s.version < last {
-				c.violate("node %d went from version %d back to %d", run.node.id, last, s.version)
+				c.addViolation("node %d went from version %d back to %d", run.node.id, last, s.version)
 			}
 			last = s.version
-			if known, ok := digests[s.version]; ok && known != s.digest {
-				c.violate("node %d holds another version %d than others", run.node.id, s.version)
+			if knownDigest, ok := digests[s.version]; ok && knownDigest != s.digest {
+				c.addViolation("node %d holds another version %d than others", run.node.id, s.version)
 			}
 			digests[s.version] = s.digest
 		}
@@ -159,39 +163,40 @@
 			continue
 		}
 		status := f.Status()
-		if !status.HasConfig || status.Version != tr.version || status.Stopped != nil || status.Alarm != "" {
-			c.violate("node %d ends with version %d (stopped %v, alarm %q, log error %q), the log says %d",
-				n.id, status.Version, status.Stopped, status.Alarm, status.LogError, tr.version)
+		if !status.HasConfig || status.Version != ref.version || status.Stopped != nil || status.Alarm != "" {
+			c.addViolation("node %d ends with version %d (stopped %v, alarm %q, log error %q), the log says %d",
+				n.id, status.Version, status.Stopped, status.Alarm, status.LogError, ref.version)
 		}
 	}
 }
 
-// checkDelays checks the bound for every version and every incarnation that could hear of it for that long.
-func (c *cluster) checkDelays(res *result, tr *truth) {
-	for i, a := range tr.accepted {
-		if a.behindGap {
-			tr.accepted[i].at = c.firstInForce(a.version)
+// checkDelays checks inForceBound for every accepted version and every incarnation that was reachable for that long.
+func (c *cluster) checkDelays(res *result, ref *reference) {
+	for i, a := range ref.accepted {
+		if a.afterGap {
+			ref.accepted[i].at = c.firstInForce(a.version)
 		}
 	}
 	for _, run := range c.incarnations {
-		for _, a := range tr.accepted {
+		for _, a := range ref.accepted {
 			from := a.at
 			if run.start.After(from) {
 				from = run.start
 			}
 			from, ok := run.reachableFor(from, inForceBound)
-			// A record must be retained over the whole window.
+			// The log must have retained the record during the complete window.
 			if !ok || from.Add(inForceBound).After(a.at.Add(testRetention)) {
 				continue
 			}
-			at := slices.IndexFunc(run.versions, func(s seen) bool { return s.version >= a.version })
+			at := slices.IndexFunc(run.versions, func(s publication) bool { return s.version >= a.version })
 			if at < 0 || run.versions[at].at.Sub(from) > inForceBound {
-				c.violate("node %d, reachable from %v on, did not have version %d of %v in force within %v", run.node.id, from, a.version, a.at, inForceBound)
+				c.addViolation("node %d, reachable since %v, did not have version %d, accepted at %v, in force within %v",
+					run.node.id, from, a.version, a.at, inForceBound)
 				continue
 			}
 			if from.Equal(a.at) {
 				into := &res.delays
-				if strings.HasPrefix(a.id, burst) {
+				if strings.HasPrefix(a.id, burstPrefix) {
 					into = &res.burstDelays
 				}
 				*into = append(*into, max(0, run.versions[at].at.Sub(a.at)))
@@ -200,36 +205,41 @@
 	}
 }
 
-// reachableFor returns the first time from which on the incarnation ran and was reachable for d.
+// reachableFor returns the earliest time, not before from, since which the incarnation was running and reachable for d,
+// and false if there is none.
 func (i *incarnation) reachableFor(from time.Time, d time.Duration) (time.Time, bool) {
-	first := int(from.Sub(i.start) / sampleEvery)
-	need := int(d/sampleEvery) + 2
+	first := int(from.Sub(i.start) / sampleInterval)
+	needed := int(d/sampleInterval) + 2
 	count := 0
-	for s := max(first, 0); s < len(i.reached); s++ {
-		if !i.reached[s] {
+	for s := max(first, 0); s < len(i.reachableSamples); s++ {
+		if !i.reachableSamples[s] {
 			count = 0
-			from = i.start.Add(time.Duration(s+2) * sampleEvery)
+			from = i.start.Add(time.Duration(s+2) * sampleInterval)
 			continue
 		}
-		if count++; count == need {
+		if count++; count == needed {
 			return from, true
 		}
 	}
 	return from, false
 }
 
-// registerInput and registerOutput describe operations on the register, which holds a version.
+// registerInput is the input of an operation on the register: a read, or a compare-and-set from base to the next
+// version.
 type registerInput struct {
 	read bool
 	base uint64
 }
 
+// registerOutput is the output of an operation on the register. version is the version read or created, or the version
+// in force at a refusal.
 type registerOutput struct {
 	accepted bool
 	version  uint64
 }
 
-// register is a compare-and-set register of versions. A refused set saw a version above its base.
+// register models the configuration as a compare-and-set register that holds a version. A compare-and-set is only
+// refused if the version is above its base.
 var register = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -245,13 +255,13 @@
 	},
 }
 
-// linearizable checks the history of operations. A set with an unknown outcome has the one that the log gave it, with an
-// open end; if it never took effect, it is left out.
-func (c *cluster) linearizable(operations []operation, tr *truth) bool {
+// linearizable reports whether the history of operations is linearizable. A submission with an unknown outcome counts
+// as accepted, with an open end, if the log accepted it; otherwise it is omitted.
+func (c *cluster) linearizable(operations []operation, ref *reference) bool {
 	var history []porcupine.Operation
 	for i, op := range operations {
 		entry := porcupine.Operation{ClientId: i, Call: op.call.UnixNano(), Return: op.ret.UnixNano(), Input: registerInput{base: op.base}}
-		told := tr.ids[op.id]
+		expected := ref.ids[op.id]
 		switch {
 		case op.kind == "read":
 			entry.Input, entry.Output = registerInput{read: true}, registerOutput{version: op.read}
@@ -259,8 +269,8 @@
 			continue
 		case op.decision.Outcome == Accepted:
 			entry.Output = registerOutput{true, op.decision.Version}
-		case op.decision.Outcome == Unknown && told.outcome == Accepted:
-			entry.Output, entry.Return = registerOutput{true, told.version}, math.MaxInt64
+		case op.decision.Outcome == Unknown && expected.outcome == Accepted:
+			entry.Output, entry.Return = registerOutput{true, expected.version}, math.MaxInt64
 		case op.decision.Outcome == Refused && !op.decision.Withdrawn && errkind.Is(op.decision.Err(), errkind.Conflict):
 			entry.Output = registerOutput{false, op.decision.Version}
 		default:
--- a/configlog/cluster_test.go
+++ b/configlog/cluster_test.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	domains       = 3
-	nodesOfDomain = 3
-	// sampleEvery is the period at which reachability is sampled.
-	sampleEvery = 250 * time.Millisecond
+	domainCount    = 3
+	nodesPerDomain = 3
+	// sampleInterval is the time between two samples of reachability.
+	sampleInterval = 250 * time.Millisecond
 )
 
-// cluster is a run: nodes in failure domains, the network between them and the log, and what was observed.
+// cluster holds the nodes of a test run, the network between them, the log, and the observations.
 type cluster struct {
 	options options
 	log     *fakeLog
@@ -29,98 +29,100 @@
 	mu sync.Mutex
 	// rng and everything below is guarded by mu.
 	rng *rand.Rand
-	// cutLog holds the failure domains that cannot reach the log, cut the pairs that cannot reach each other.
-	cutLog       [domains]bool
-	cut          [domains][domains]bool
+	// cutLog marks the failure domains that cannot reach the log. cut marks the pairs of failure domains that cannot
+	// reach each other.
+	cutLog       [domainCount]bool
+	cut          [domainCount][domainCount]bool
 	incarnations []*incarnation
 	violations   []string
 }
 
-// options switch faults and, for runs that must fail, mechanisms off.
+// options configures the faults of a run and disables mechanisms in runs that must fail.
 type options struct {
 	duration time.Duration
-	// latePercent replaces the share of late appends; 0 for the random one.
+	// latePercent is the percentage of late appends; 0 selects a random one.
 	latePercent int
-	// noPeers takes the relay away, appendErrorMeansNo takes a failed append for a refusal.
-	noPeers, appendErrorMeansNo bool
-	// swallow and mangle are those of fakeLog and port; mangle is given to the nodes of failure domain 1.
-	swallow func(Record) bool
-	mangle  func(*node, Record) Record
+	// noPeers removes all peers. appendErrorIsRefusal makes submissions treat a failed append as a refusal.
+	noPeers, appendErrorIsRefusal bool
+	// drop is set in the fakeLog. rewrite is applied to all records that the nodes of failure domain 1 read.
+	drop    func(Record) bool
+	rewrite func(*node, Record) Record
 }
 
-// incarnation is what was seen of one follower between start and end.
+// incarnation holds the observations of one follower between start and end.
 type incarnation struct {
 	node       *node
 	start, end time.Time
-	// versions are the documents published, in order.
-	versions []seen
-	// reached holds one sample for each sampleEvery from start on.
-	reached []bool
+	// versions holds the published documents in order.
+	versions []publication
+	// reachableSamples holds one sample for each sampleInterval after start.
+	reachableSamples []bool
 }
 
-type seen struct {
+// publication is the publication of a document by a follower.
+type publication struct {
 	at      time.Time
 	version uint64
 	digest  uint64
 }
 
-func (c *cluster) locked(f func()) {
+func (c *cluster) withLock(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
 }
 
-func (c *cluster) roll(n int) (value int) {
-	c.locked(func() { value = c.rng.IntN(n) })
+func (c *cluster) randomInt(n int) (value int) {
+	c.withLock(func() { value = c.rng.IntN(n) })
 	return value
 }
 
-func (c *cluster) violate(format string, args ...any) {
-	c.locked(func() { c.violations = append(c.violations, fmt.Sprintf(format, args...)) })
+func (c *cluster) addViolation(format string, args ...any) {
+	c.withLock(func() { c.violations = append(c.violations, fmt.Sprintf(format, args...)) })
 }
 
 func (c *cluster) connected(a, b *node) (ok bool) {
-	c.locked(func() { ok = !c.cut[a.domain][b.domain] })
+	c.withLock(func() { ok = !c.cut[a.domain][b.domain] })
 	return ok
 }
 
 func (c *cluster) reachesLog(domain int) (ok bool) {
-	c.locked(func() { ok = !c.cutLog[domain] })
+	c.withLock(func() { ok = !c.cutLog[domain] })
 	return ok
 }
 
 func newCluster(seed uint64, o options) *cluster {
 	c := &cluster{options: o, log: newFakeLog(seed, testRetention), rng: rand.New(rand.NewPCG(seed, 2))}
-	c.log.swallow = o.swallow
-	for i := range domains * nodesOfDomain {
-		n := &node{id: i, domain: i % domains, cluster: c}
-		n.port = &port{log: c.log, reach: func() bool { return c.reachesLog(n.domain) }}
-		if o.mangle != nil && n.domain == 1 {
-			n.port.mangle = mangler(func(r Record) Record { return o.mangle(n, r) })
+	c.log.drop = o.drop
+	for i := range domainCount * nodesPerDomain {
+		n := &node{id: i, domain: i % domainCount, cluster: c}
+		n.logClient = &logClient{log: c.log, connected: func() bool { return c.reachesLog(n.domain) }}
+		if o.rewrite != nil && n.domain == 1 {
+			n.logClient.rewrite = recordRewriter(func(r Record) Record { return o.rewrite(n, r) })
 		}
 		c.nodes = append(c.nodes, n)
 	}
 	return c
 }
 
-// start begins a new incarnation of n.
+// start starts a new incarnation of n.
 func (c *cluster) start(ctx context.Context, group *sync.WaitGroup, n *node) {
 	ctx, cancel := context.WithCancel(ctx)
 	f := NewFollower(Settings{
-		Log: n.port, Logger: zerolog.Nop(), Seed: uint64(c.roll(1<<30) + 1),
+		Log: n.logClient, Logger: zerolog.Nop(), Seed: uint64(c.randomInt(1<<30) + 1),
 		Retention: Retention{Period: testRetention, EveryRecords: 200},
 		Peers: func() []Peer {
 			var peers []Peer
 			for _, other := range c.nodes {
 				if other != n && !c.options.noPeers {
-					peers = append(peers, NewPeer(fmt.Sprint(other.id), "", link{n, other}))
+					peers = append(peers, NewPeer(fmt.Sprint(other.id), "", peerLink{n, other}))
 				}
 			}
 			return peers
 		},
 	})
 	run := &incarnation{node: n, start: time.Now()}
-	c.locked(func() { c.incarnations = append(c.incarnations, run) })
+	c.withLock(func() { c.incarnations = append(c.incarnations, run) })
 	n.mu.Lock()
 	n.follower, n.stop = f, cancel
 	n.incarnation++
@@ -129,11 +131,11 @@
 	group.Go(func() { c.observe(ctx, run, f) })
 }
 
-// observe records the documents that f publishes and samples whether it could hear of new ones.
+// observe records the documents that f publishes and samples whether its node can receive new ones.
 func (c *cluster) observe(ctx context.Context, run *incarnation, f *Follower) {
 	documents, stop := f.Subscribe()
 	defer stop()
-	ticker := time.NewTicker(sampleEvery)
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -141,17 +143,17 @@
 			run.end = time.Now()
 			return
 		case doc := <-documents:
-			run.versions = append(run.versions, seen{time.Now(), doc.Version, config.Digest(doc)})
+			run.versions = append(run.versions, publication{time.Now(), doc.Version, config.Digest(doc)})
 		case <-ticker.C:
-			run.reached = append(run.reached, c.reachable(run.node))
+			run.reachableSamples = append(run.reachableSamples, c.reachable(run.node))
 		}
 	}
 }
 
-// reachable reports whether n reaches the log, or a running node that does.
+// reachable reports whether n reaches the log or a running node that reaches the log.
 func (c *cluster) reachable(n *node) bool {
 	var down bool
-	c.log.locked(func() { down = c.log.down || c.log.slow > time.Second })
+	c.log.withLock(func() { down = c.log.down || c.log.slow > time.Second })
 	if down {
 		return false
 	}
@@ -166,7 +168,7 @@
 	return false
 }
 
-// kill ends the incarnation of n.
+// kill stops the current incarnation of n.
 func (c *cluster) kill(n *node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/configlog/example_test.go
+++ b/configlog/example_test.go
@@ -9,7 +9,8 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// Every process that folds the same records holds the same version: the first patch on a base wins.
+// Every process that folds the same records has the same version: of several patches on one base, the first is
+// accepted.
 func ExampleState() {
 	drain := func(id, vm string) configlog.Record {
 		op := config.Op{Op: config.OpSet, Path: "drains/" + vm, Value: json.RawMessage(`{"reason":"new fan"}`)}
--- a/configlog/fake_test.go
+++ b/configlog/fake_test.go
@@ -13,10 +13,10 @@
 	"github.com/redwingthread/redwingthread/inner"
 )
 
-var errDown = errkind.Wrap(errors.New("fault of the test"), errkind.Unavailable, "try again", "not reachable")
+var errUnreachable = errkind.Wrap(errors.New("injected fault"), errkind.Unavailable, "try again", "not reachable")
 
-// fakeLog is the log service with limited retention, outages, lost responses, late appends and silent connections. It is
-// shared by all followers of a run.
+// fakeLog simulates the log service with limited retention, outages, lost responses, late appends and unresponsive
+// connections. All followers of a run share it.
 type fakeLog struct {
 	mu sync.Mutex
 	// rng and everything below is guarded by mu.
@@ -25,32 +25,33 @@
 	records   []infra.Record
 	times     []time.Time
 	oldest    uint64
-	// silent lets reads hang while the log is down.
+	// down makes all requests fail. silent makes reads hang instead of failing while the log is down.
 	down, silent bool
 	slow         time.Duration
-	// lossPercent is the share of appends whose response is lost, latePercent that of appends which fail at first and
-	// take effect up to 20 s later, hangPercent that of reads which get no response.
+	// lossPercent is the percentage of appends whose response is lost, latePercent that of appends that fail and take
+	// effect up to 20 s later, and hangPercent that of reads that get no response.
 	lossPercent, latePercent, hangPercent int
 	appended                              chan struct{}
-	// swallow drops records that it reports true for, as if they had been appended. It is a switch of the broken runs.
-	swallow func(Record) bool
+	// drop selects records that are discarded although the append succeeds; nil selects none. Only runs that must fail
+	// set it.
+	drop func(Record) bool
 }
 
 func newFakeLog(seed uint64, retention time.Duration) *fakeLog {
 	return &fakeLog{rng: rand.New(rand.NewPCG(seed, 1)), retention: retention, appended: make(chan struct{})}
 }
 
-func (l *fakeLog) locked(f func()) {
+func (l *fakeLog) withLock(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-// add appends records; the caller holds mu.
+// add appends records and returns the offset of the first. The caller must hold mu.
 func (l *fakeLog) add(records [][]byte) uint64 {
 	first := uint64(len(l.records))
 	for _, data := range records {
-		if r, err := decode(data); err == nil && l.swallow != nil && l.swallow(r) {
+		if r, err := decode(data); err == nil && l.drop != nil && l.drop(r) {
 			continue
 		}
 		l.records = append(l.records, infra.Record{Offset: uint64(len(l.records)), Data: data})
@@ -61,66 +62,66 @@
 	return first
 }
 
-// expire moves oldest over records past the retention; the caller holds mu.
+// expire moves oldest past the records that are older than the retention. The caller must hold mu.
 func (l *fakeLog) expire() {
 	for l.oldest < uint64(len(l.records)) && time.Since(l.times[l.oldest]) > l.retention {
 		l.oldest++
 	}
 }
 
-// port is one follower's way to the log.
-type port struct {
+// logClient is the infra.Log of one follower.
+type logClient struct {
 	log *fakeLog
-	// reach reports whether the network lets the follower through.
-	reach func() bool
-	// mangle changes what this follower reads; nil for nothing. It is a switch of the broken runs.
-	mangle func(infra.Record) infra.Record
-	// hung is set while the last read got no response; guarded by log.mu.
+	// connected reports whether the network connects the follower to the log.
+	connected func() bool
+	// rewrite changes the records that this follower reads; nil changes none. Only runs that must fail set it.
+	rewrite func(infra.Record) infra.Record
+	// hung is set if the last read got no response; guarded by log.mu.
 	hung bool
 }
 
-func (p *port) delay(ctx context.Context) {
+func (p *logClient) delay(ctx context.Context) {
 	var d time.Duration
-	p.log.locked(func() { d = p.log.slow + time.Duration(1+p.log.rng.Int64N(30))*time.Millisecond })
+	p.log.withLock(func() { d = p.log.slow + time.Duration(1+p.log.rng.Int64N(30))*time.Millisecond })
 	boottime.Sleep(ctx, d)
 }
 
-func (p *port) Append(ctx context.Context, _ string, records [][]byte) (uint64, error) {
+func (p *logClient) Append(ctx context.Context, _ string, records [][]byte) (uint64, error) {
 	p.delay(ctx)
 	l := p.log
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if ctx.Err() != nil || l.down || !p.reach() {
-		return 0, errDown
+	if ctx.Err() != nil || l.down || !p.connected() {
+		return 0, errUnreachable
 	}
-	roll := l.rng.IntN(100)
-	if roll < l.latePercent {
+	draw := l.rng.IntN(100)
+	if draw < l.latePercent {
 		late := time.Duration(l.rng.Int64N(int64(20 * time.Second)))
-		time.AfterFunc(late, func() { l.locked(func() { l.add(records) }) })
-		return 0, errDown
+		time.AfterFunc(late, func() { l.withLock(func() { l.add(records) }) })
+		return 0, errUnreachable
 	}
 	first := l.add(records)
-	if roll < l.latePercent+l.lossPercent {
-		return 0, errDown
+	if draw < l.latePercent+l.lossPercent {
+		return 0, errUnreachable
 	}
 	return first, nil
 }
 
-func (p *port) Read(ctx context.Context, _ string, from uint64, limit, waitMS int) (infra.ReadResponse, error) {
+func (p *logClient) Read(ctx context.Context, _ string, from uint64, limit, waitMS int) (infra.ReadResponse, error) {
 	deadline := time.Now().Add(time.Duration(waitMS) * time.Millisecond)
 	p.delay(ctx)
 	for {
 		l := p.log
 		l.mu.Lock()
-		if l.down || !p.reach() {
+		if l.down || !p.connected() {
 			silent := l.down && l.silent
 			l.mu.Unlock()
 			if silent {
 				<-ctx.Done()
 			}
-			return infra.ReadResponse{}, errDown
+			return infra.ReadResponse{}, errUnreachable
 		}
-		// A connection that goes silent is followed by one that works.
+		// The read after one without a response always gets a response, as over a new connection.
 		if !p.hung && l.rng.IntN(100) < l.hangPercent {
 			p.hung = true
 			l.mu.Unlock()
@@ -147,47 +148,49 @@
 	}
 }
 
-// readNow returns what is there; the caller holds log.mu.
-func (p *port) readNow(from uint64, limit int) infra.ReadResponse {
+// readNow returns the available records without waiting. The caller must hold log.mu.
+func (p *logClient) readNow(from uint64, limit int) infra.ReadResponse {
 	l := p.log
 	l.expire()
 	next := uint64(len(l.records))
 	resp := infra.ReadResponse{Oldest: l.oldest, Next: next}
 	for o := max(from, l.oldest); o < next && len(resp.Records) < limit; o++ {
 		r := l.records[o]
-		if p.mangle != nil {
-			r = p.mangle(r)
+		if p.rewrite != nil {
+			r = p.rewrite(r)
 		}
 		resp.Records = append(resp.Records, r)
 	}
 	return resp
 }
 
-// node is one VM of a run: the follower of its present incarnation.
+// node is one VM of a run with the follower of its current incarnation.
 type node struct {
 	id, domain int
 	cluster    *cluster
-	port       *port
+	logClient  *logClient
 
 	mu sync.Mutex
-	// follower is nil while the VM is down; guarded by mu, as is what follows.
+	// follower is nil while the VM is down. mu guards it and the fields below.
 	follower    *Follower
 	stop        context.CancelFunc
 	incarnation int
 }
 
+// current returns the follower of the current incarnation, nil while the VM is down.
 func (n *node) current() *Follower {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.follower
 }
 
-// link is one node's way to another, an inner.Caller.
-type link struct{ from, to *node }
+// peerLink is the inner.Caller for requests from one node to another.
+type peerLink struct{ from, to *node }
 
-// Call answers as the other node's follower does, after the network delay.
-func (l link) Call(ctx context.Context, _ string, req *inner.Request) (*inner.Response, error) {
-	boottime.Sleep(ctx, time.Duration(1+l.from.cluster.roll(5))*time.Millisecond)
+// Call returns the response of the other node's follower after a network delay. It blocks until ctx ends if the other
+// node is down or not reachable.
+func (l peerLink) Call(ctx context.Context, _ string, req *inner.Request) (*inner.Response, error) {
+	boottime.Sleep(ctx, time.Duration(1+l.from.cluster.randomInt(5))*time.Millisecond)
 	f := l.to.current()
 	if f == nil || !l.from.cluster.connected(l.from, l.to) {
 		<-ctx.Done()
--- a/configlog/follower.go
+++ b/configlog/follower.go
@@ -18,42 +18,47 @@
 
 // Peer is another process that follows the configuration stream.
 type Peer interface {
-	// ID names the peer; it is stable over the life of the process.
+	// ID identifies the peer. It does not change during the lifetime of the process.
 	ID() string
+	// FetchRecords returns records that the peer has cached. See Follower.FetchRecords.
 	FetchRecords(ctx context.Context, req inner.FetchRecords) (inner.FetchRecordsResponse, error)
+	// FetchState returns the state of the peer. See Follower.FetchState.
 	FetchState(ctx context.Context) (inner.FetchStateResponse, error)
 }
 
-// Settings are the collaborators and bounds of a Follower. Zero durations and bounds get defaults.
+// Settings holds the dependencies and limits of a Follower. Durations and limits that are zero get defaults.
 type Settings struct {
 	Log infra.Log
-	// Peers returns the peers to ask now; nil if there are none.
+	// Peers returns the current peers. A nil function means that there are none.
 	Peers     func() []Peer
 	Logger    zerolog.Logger
 	Retention Retention
-	// PollWait is the wait of one long poll, and ReadMargin what is added to it for the response. Together with
-	// PeerPeriod they bound the time until a silent connection to the log is given up for peers.
+	// PollWait is the wait time of one long poll of the log. ReadMargin is added to it for the response. Together with
+	// PeerPeriod they bound the time until the follower queries peers because a connection to the log is unresponsive.
 	PollWait   time.Duration
 	ReadMargin time.Duration
-	// PeerPeriod is the time between two rounds of asking peers while the log does not respond.
+	// PeerPeriod is the time between two rounds of queries to peers while the log does not respond.
 	PeerPeriod time.Duration
-	// CallTimeout bounds one call to a peer and one append.
+	// CallTimeout is the timeout of one request to a peer, of the read in CatchUp and of the first attempt of an append.
+	// Further attempts and appends of snapshots use multiples of it.
 	CallTimeout time.Duration
-	// GapGrace is the time for which a process whose next records expired waits for another process's snapshot before it
-	// carries its own state on. IsolatedGapGrace takes its place while a peer does not answer: that one may hold a higher
-	// version.
+	// GapGrace is the time for which a process whose next records have expired waits for a snapshot of another process
+	// before it continues with its own state. IsolatedGapGrace applies instead while a peer does not respond, because
+	// that peer may hold a higher version.
 	GapGrace         time.Duration
 	IsolatedGapGrace time.Duration
-	// SnapshotJitter spreads the snapshots of all processes; an append waits up to this long and is then checked again.
+	// SnapshotJitter is the upper limit of the random delay before a snapshot is appended. It prevents all processes
+	// from appending the same snapshot: after the delay a process appends only if a snapshot is still due.
 	SnapshotJitter time.Duration
-	// RelayBytes bounds the records kept for peers.
-	RelayBytes int
-	// Seed makes jitter and the choice of peers repeatable; 0 for a random one.
+	// RecordCacheBytes limits the size of the records cached for peers, in bytes of their data.
+	RecordCacheBytes int
+	// Seed makes random delays and the choice of peers reproducible; 0 selects a random seed.
 	Seed uint64
 }
 
-// Defaults of Settings. GapGrace leaves room for the rest of the 8 s within which a change must be in force. A change reaches a process that can reach a peer within PollWait + ReadMargin + 2 PeerPeriod,
-// 5.5 s, also when its connection to the log went silent; the requirement is 8 s.
+// Defaults of Settings. The requirement is that a change is in force within 8 s. A change reaches a process that can
+// reach a peer within PollWait + ReadMargin + 2 PeerPeriod = 5.5 s, even if its connection to the log is unresponsive.
+// GapGrace leaves enough of the 8 s for the other steps.
 const (
 	defaultPollWait         = 2 * time.Second
 	defaultReadMargin       = 1500 * time.Millisecond
@@ -62,9 +67,9 @@
 	defaultGapGrace         = 3 * time.Second
 	defaultIsolatedGapGrace = 5 * time.Minute
 	defaultSnapshotJitter   = 10 * time.Second
-	defaultRelayBytes       = 2 << 20
+	defaultRecordCacheBytes = 2 << 20
 	defaultRetention        = 24 * time.Hour
-	// defaultEveryRecords bounds the fold at start, at 2 to 3 ms a record at the planned size.
+	// defaultEveryRecords limits the time of the fold at start; a record takes 2 to 3 ms at the planned size.
 	defaultEveryRecords = 250
 )
 
@@ -85,8 +90,8 @@
 	if s.Retention.EveryRecords == 0 {
 		s.Retention.EveryRecords = defaultEveryRecords
 	}
-	if s.RelayBytes == 0 {
-		s.RelayBytes = defaultRelayBytes
+	if s.RecordCacheBytes == 0 {
+		s.RecordCacheBytes = defaultRecordCacheBytes
 	}
 	if s.Peers == nil {
 		s.Peers = func() []Peer { return nil }
@@ -94,7 +99,7 @@
 	return s
 }
 
-// readLimit is the number of records asked for in one read.
+// readLimit is the largest number of records requested in one read.
 const readLimit = 256
 
 // Follower holds the configuration in force and keeps it up to date. It is safe for concurrent use.
@@ -103,41 +108,42 @@
 	doc      atomic.Pointer[config.Document]
 
 	mu sync.Mutex
-	// state is nil until a start was found; guarded by mu, as are all fields below.
+	// state is nil until an initial state was found. mu guards it and the fields from here to snapshotError.
 	state *State
 	// changed is closed and replaced whenever state changes.
 	changed     chan struct{}
 	subscribers map[int]chan *config.Document
 	nextID      int
-	relay       relay
-	// lastRead is the time of the last response of the log, and logError the last error since; logTail is the next
-	// offset of the log as last seen.
+	recordCache recordCache
+	// lastRead is the time of the last successful read of the log. logError is the error of the last read, nil if it
+	// succeeded. logTail is the next offset of the log in the last response.
 	lastRead time.Time
 	logError error
 	logTail  uint64
-	alarm    string
-	// hint is the highest offset that a peer reported.
+	// alarm is set if the log has violated its contract.
+	alarm string
+	// hint is the highest next offset that a peer has reported, 0 if none is pending.
 	hint uint64
-	// startTail is the end of the log when the first state was found there. Documents in front of it are old and are held
-	// back, for at most startHold after startedAt.
+	// startTail is the end of the log when the initial state was found there. Documents before it are outdated and are
+	// not published until maxStartHold after startedAt.
 	startTail uint64
 	startedAt time.Time
-	// gapSince is the time at which the log was first seen to lack the next records; zero if it does not.
+	// gapSince is the time at which the next records were first missing from the log; zero if they are not missing.
 	gapSince time.Time
-	// snapshotAt is the time of the next append of a snapshot; zero if none is planned.
-	snapshotAt    time.Time
-	appending     bool
-	snapshotError error
+	// nextSnapshotAt is the time of the next append of a snapshot; zero if none is scheduled.
+	nextSnapshotAt    time.Time
+	appendingSnapshot bool
+	snapshotError     error
 
-	// handling serialises the handling of responses of the two readers, which may last. It is a channel and no mutex, so
-	// that virtual time goes on in tests.
-	handling chan struct{}
+	// handlerLock serialises the handling of responses by the two readers, which may take long. It is a channel instead
+	// of a mutex because the virtual time of tests does not advance while a goroutine waits for a mutex.
+	handlerLock chan struct{}
 
-	wakePeers chan struct{}
-	random    random
+	peerSyncRequested chan struct{}
+	random            random
 }
 
-// random is a source of jitter that is safe for concurrent use.
+// random is a random number generator that is safe for concurrent use.
 type random struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -157,23 +163,23 @@
 	return time.Duration(r.rng.Int64N(int64(limit)))
 }
 
-// NewFollower returns a follower without a configuration. Run makes it follow.
+// NewFollower returns a follower without a configuration. Run makes it follow the log.
 func NewFollower(settings Settings) *Follower {
 	return &Follower{
-		settings:    settings.withDefaults(),
-		changed:     make(chan struct{}),
-		subscribers: map[int]chan *config.Document{},
-		wakePeers:   make(chan struct{}, 1),
-		handling:    make(chan struct{}, 1),
-		random:      newRandom(settings.Seed),
+		settings:          settings.withDefaults(),
+		changed:           make(chan struct{}),
+		subscribers:       map[int]chan *config.Document{},
+		peerSyncRequested: make(chan struct{}, 1),
+		handlerLock:       make(chan struct{}, 1),
+		random:            newRandom(settings.Seed),
 	}
 }
 
 // Document returns the configuration in force, nil if there is none. It does not block.
 func (f *Follower) Document() *config.Document { return f.doc.Load() }
 
-// Subscribe returns a channel that receives the document in force and then each new one. A slow reader misses versions
-// in between, never the newest. Stop ends the subscription.
+// Subscribe returns a channel that receives the document in force and then each new one. A slow reader may miss
+// intermediate versions, but never the newest. stop ends the subscription.
 func (f *Follower) Subscribe() (documents <-chan *config.Document, stop func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,10 +207,10 @@
 	return f.state.Clone()
 }
 
-// Run follows the log until ctx ends. It returns ctx's error.
+// Run follows the log until ctx is cancelled and returns the error of ctx.
 func (f *Follower) Run(ctx context.Context) error {
 	var group sync.WaitGroup
-	group.Go(func() { f.followPeers(ctx) })
+	group.Go(func() { f.syncWithPeers(ctx) })
 	group.Go(func() { f.followSlowLog(ctx) })
 	f.followLog(ctx)
 	group.Wait()
@@ -221,39 +227,41 @@
 			backoff = firstBackoff
 			continue
 		}
-		f.askPeersSoon()
+		f.requestPeerSync()
 		boottime.Sleep(ctx, backoff/2+f.random.duration(backoff))
 		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// followSlowLog reads with much more time while followLog gets no response: a log that is slow for long is followed late,
-// and a connection that went silent does not keep followLog from trying others.
+// followSlowLog reads with a much longer timeout while the reads of followLog fail. Records are thus still read, though
+// late, if the log stays slow for a long time, and an unresponsive connection does not keep followLog from trying
+// others.
 func (f *Follower) followSlowLog(ctx context.Context) {
-	const patience = 30 * time.Second
+	const slowReadTimeout = 30 * time.Second
 	for ctx.Err() == nil {
 		boottime.Sleep(ctx, f.settings.PollWait+f.settings.ReadMargin)
 		f.mu.Lock()
 		failing := f.logError != nil
 		f.mu.Unlock()
 		if failing {
-			_ = f.readOnce(ctx, 0, patience) // readOnce logs the error
+			_ = f.readOnce(ctx, 0, slowReadTimeout) // readOnce logs the error
 		}
 	}
 }
 
-// readOnce does one read, which waits up to wait for records, and handles its response.
+// readOnce reads once, waiting up to wait for records, and handles the response. margin is the additional time for the
+// response. It returns and logs the error.
 func (f *Follower) readOnce(ctx context.Context, wait, margin time.Duration) error {
 	from := f.nextOffset()
 	if !f.started() {
 		wait = 0
 	}
 	resp, err := f.read(ctx, from, wait, margin)
-	f.handling <- struct{}{}
+	f.handlerLock <- struct{}{}
 	if err == nil {
-		err = f.handle(ctx, from, resp)
+		err = f.handleResponse(ctx, from, resp)
 	}
-	<-f.handling
+	<-f.handlerLock
 	f.mu.Lock()
 	f.logError = err
 	if err == nil {
@@ -274,18 +282,19 @@
 	return f.settings.Log.Read(ctx, infra.ConfigStream, from, readLimit, int(wait.Milliseconds()))
 }
 
-// handle takes over the records of a response, or closes the gap if the next ones have expired.
-func (f *Follower) handle(ctx context.Context, from uint64, resp infra.ReadResponse) error {
+// handleResponse folds the records of a response that started at offset from, or closes the gap if the next ones have
+// expired.
+func (f *Follower) handleResponse(ctx context.Context, from uint64, resp infra.ReadResponse) error {
 	f.mu.Lock()
 	f.logTail = resp.Next
 	f.mu.Unlock()
 	if !f.started() {
-		return f.start(ctx, resp)
+		return f.findInitialState(ctx, resp)
 	}
 	next := f.nextOffset()
 	if resp.Next < next && resp.Next < from {
-		return f.raise(errkind.New(errkind.Unavailable, "restore the log service; the last version stays in force",
-			"log ends at offset %d in front of %d: it has lost records", resp.Next, next))
+		return f.raiseAlarm(errkind.New(errkind.Unavailable, "restore the log service; the last version stays in force",
+			"log ends at offset %d, before the next expected offset %d: it has lost records", resp.Next, next))
 	}
 	if resp.Oldest > next {
 		return f.closeGap(ctx, resp.Oldest)
@@ -295,14 +304,14 @@
 	f.mu.Unlock()
 	f.fold(resp.Records)
 	if f.Document() == nil {
-		f.askPeersSoon()
+		f.requestPeerSync()
 	}
-	f.planSnapshot(ctx, resp)
-	return f.stopped(ctx)
+	f.appendSnapshotIfDue(ctx, resp)
+	return f.pauseIfStopped(ctx)
 }
 
-// stopped slows the reader down while the fold goes no further.
-func (f *Follower) stopped(ctx context.Context) error {
+// pauseIfStopped pauses the reader for PollWait if the fold has stopped. It returns nil.
+func (f *Follower) pauseIfStopped(ctx context.Context) error {
 	f.mu.Lock()
 	stop := f.state.Stopped
 	f.mu.Unlock()
@@ -312,8 +321,8 @@
 	return nil
 }
 
-// raise sets the alarm shown by Status and returns err.
-func (f *Follower) raise(err error) error {
+// raiseAlarm sets the alarm in Status to the message of err and returns err.
+func (f *Follower) raiseAlarm(err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.alarm = errkind.As(err).Message
@@ -336,7 +345,7 @@
 	return f.state.Next
 }
 
-// fold applies the records that follow the state; others are left out.
+// fold folds the records that continue the state and ignores others.
 func (f *Follower) fold(records []infra.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -351,25 +360,25 @@
 		f.foldOne(r)
 	}
 	if f.state.Next != before {
-		f.wake()
+		f.notifyWaiters()
 		f.publish()
 	}
 }
 
-// wake lets waiters look at the state again; the caller holds mu.
-func (f *Follower) wake() {
+// notifyWaiters makes waiters evaluate the state again. The caller must hold mu.
+func (f *Follower) notifyWaiters() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// foldOne folds one record; the caller holds mu.
+// foldOne folds one record, caches it for peers and logs its decision. The caller must hold mu.
 func (f *Follower) foldOne(r infra.Record) {
 	if f.state.Stopped != nil {
 		return
 	}
-	began := time.Now()
+	start := time.Now()
 	decision := f.state.Fold(r.Offset, r.Data)
-	timeFold(began)
+	recordFoldDuration(start)
 	countDecision(decision)
 	if stop := f.state.Stopped; stop != nil {
 		metricStopped.Update(1)
@@ -377,33 +386,33 @@
 		return
 	}
 	if f.state.Next != r.Offset+1 {
-		// The records kept for peers belong to the state that was given up.
-		f.relay.clear()
+		// The fold adopted another state; the cached records belong to the previous one.
+		f.recordCache.clear()
 		return
 	}
-	f.relay.add(r, f.settings.RelayBytes)
+	f.recordCache.add(r, f.settings.RecordCacheBytes)
 	if decision != nil {
 		f.settings.Logger.Info().Str("patch", decision.ID).Str("outcome", string(decision.Outcome)).
 			Uint64("version", decision.Version).Str("author", decision.Author).Msg("configuration decision")
 	}
 }
 
-// startHold bounds the time for which documents are held back at start.
-const startHold = 3 * time.Second
+// maxStartHold is the longest time after the start for which outdated documents are not published.
+const maxStartHold = 3 * time.Second
 
-// publish gives the state's document to readers; the caller holds mu.
+// publish makes the state's document available to Document and to subscribers. The caller must hold mu.
 func (f *Follower) publish() {
 	if f.state == nil {
 		return
 	}
-	doc, held := f.state.Doc, f.doc.Load()
-	if doc == nil || doc == held {
+	doc, current := f.state.Doc, f.doc.Load()
+	if doc == nil || doc == current {
 		return
 	}
-	if held == nil && f.state.Next < f.startTail && time.Since(f.startedAt) < startHold {
+	if current == nil && f.state.Next < f.startTail && time.Since(f.startedAt) < maxStartHold {
 		return
 	}
-	if !checkMonotone(held, doc) {
+	if !checkMonotone(current, doc) {
 		return
 	}
 	f.doc.Store(doc)
@@ -417,16 +426,16 @@
 	}
 }
 
-// replace puts another state in place if it supersedes the one held.
-func (f *Follower) replace(next *State) bool {
+// replaceState sets next as the state if it supersedes the current one, and reports whether it did.
+func (f *Follower) replaceState(next *State) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !next.Supersedes(f.state) {
 		return false
 	}
 	f.state = next
-	f.relay.clear()
-	f.wake()
+	f.recordCache.clear()
+	f.notifyWaiters()
 	f.publish()
 	return true
 }
--- a/configlog/history.go
+++ b/configlog/history.go
@@ -5,7 +5,8 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// Decision returns the decision about a patch id.
+// Decision returns the decision about the patch, withdrawal or initialise record with this id, and false if the history
+// contains none.
 func (s *State) Decision(id string) (Decision, bool) {
 	offset, ok := s.byID[id]
 	if !ok {
@@ -19,7 +20,8 @@
 	return Decision{}, false
 }
 
-// At returns the document of a version. A version above the one in force or in front of the history is NotFound.
+// At returns the document of a version. The error has the kind NotFound if the version is above the one in force or
+// older than the history.
 func (s *State) At(version uint64) (*config.Document, error) {
 	if s.Doc == nil {
 		return nil, notInitialised()
@@ -32,18 +34,18 @@
 		}
 		previous, err := config.ApplyOps(doc, d.Undo, doc.Version-1)
 		if err != nil {
-			return nil, errkind.Wrap(err, errkind.Internal, "report this", "version %d cannot be rebuilt", doc.Version-1)
+			return nil, errkind.Wrap(err, errkind.Internal, "report this as a bug", "cannot rebuild version %d", doc.Version-1)
 		}
 		doc = previous
 	}
 	if doc.Version != version {
-		return nil, errkind.New(errkind.NotFound, "run redwingctl config log for the versions that are kept",
-			"version %d is not kept; version %d is in force", version, s.Doc.Version)
+		return nil, errkind.New(errkind.NotFound, "run redwingctl config log to list the available versions",
+			"version %d is not available; version %d is in force", version, s.Doc.Version)
 	}
 	return doc, nil
 }
 
-// Log returns the decisions whose version lies between from and to, both included, in log order.
+// Log returns the decisions with versions from from to to, both inclusive, in log order.
 func (s *State) Log(from, to uint64) []Decision {
 	var decisions []Decision
 	for _, d := range s.Decisions {
@@ -54,28 +56,30 @@
 	return decisions
 }
 
-// Step is one accepted change as replay shows it.
-type Step struct {
+// ReplayStep is one accepted change and its result.
+type ReplayStep struct {
 	Decision Decision
+	// Document is the document after the change.
 	Document *config.Document
 }
 
-// Replay returns the accepted changes that make the versions from+1 to to, each with the document it made.
-func (s *State) Replay(from, to uint64) ([]Step, error) {
+// Replay returns the accepted changes that created the versions from+1 to to, each with the resulting document. The
+// error has the kind NotFound if the version from is not available.
+func (s *State) Replay(from, to uint64) ([]ReplayStep, error) {
 	doc, err := s.At(from)
 	if err != nil {
 		return nil, err
 	}
-	var steps []Step
+	var steps []ReplayStep
 	for _, d := range s.Decisions {
 		if d.Outcome != Accepted || d.Version <= from || d.Version > to {
 			continue
 		}
 		doc, err = config.ApplyOps(doc, d.Ops, d.Version)
 		if err != nil {
-			return nil, errkind.Wrap(err, errkind.Internal, "report this", "version %d cannot be replayed", d.Version)
+			return nil, errkind.Wrap(err, errkind.Internal, "report this as a bug", "cannot replay version %d", d.Version)
 		}
-		steps = append(steps, Step{Decision: d, Document: doc})
+		steps = append(steps, ReplayStep{Decision: d, Document: doc})
 	}
 	return steps, nil
 }
--- a/configlog/metrics.go
+++ b/configlog/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// The metrics of the followers of this process. The names are part of what operators watch.
+// Metrics of all followers in this process. Operators monitor these names.
 var (
 	metricVersion      = metrics.GetOrRegisterGauge("config.version", metrics.DefaultRegistry)
 	metricRecords      = metrics.GetOrRegisterCounter("config.records_folded", metrics.DefaultRegistry)
@@ -18,12 +18,12 @@
 	metricUnknown      = metrics.GetOrRegisterCounter("config.outcomes_unknown", metrics.DefaultRegistry)
 	metricSnapshots    = metrics.GetOrRegisterCounter("config.snapshots_appended", metrics.DefaultRegistry)
 	metricSkipped      = metrics.GetOrRegisterCounter("config.gaps_skipped", metrics.DefaultRegistry)
-	// metricStopped is 1 while the fold goes no further or the log broke its contract; it needs an operator.
+	// metricStopped is 1 after the fold has stopped or the log has violated its contract. An operator must intervene.
 	metricStopped = metrics.GetOrRegisterGauge("config.stopped", metrics.DefaultRegistry)
 	metricFold    = metrics.GetOrRegisterTimer("config.fold", metrics.DefaultRegistry)
 )
 
-// countDecision counts what the fold decided.
+// countDecision counts a decision of the fold by its outcome; d may be nil.
 func countDecision(d *Decision) {
 	switch {
 	case d == nil:
@@ -34,8 +34,8 @@
 	}
 }
 
-// timeFold records the time of the fold of one record, which started at began.
-func timeFold(began time.Time) {
+// recordFoldDuration records the duration of the fold of one record that started at start.
+func recordFoldDuration(start time.Time) {
 	metricRecords.Inc(1)
-	metricFold.UpdateSince(began)
+	metricFold.UpdateSince(start)
 }
--- a/configlog/peer.go
+++ b/configlog/peer.go
@@ -7,14 +7,14 @@
 	"github.com/redwingthread/redwingthread/inner"
 )
 
-// innerPeer is a Peer over the inner protocol.
+// innerPeer implements Peer over the inner protocol.
 type innerPeer struct {
 	id      string
 	address string
 	caller  inner.Caller
 }
 
-// NewPeer returns the peer with an id whose inner protocol listener is at address, host:port.
+// NewPeer returns the peer with the given id. address is the host:port of its inner protocol listener.
 func NewPeer(id, address string, caller inner.Caller) Peer {
 	return &innerPeer{id: id, address: address, caller: caller}
 }
@@ -24,29 +24,29 @@
 
 // FetchRecords implements Peer.
 func (p *innerPeer) FetchRecords(ctx context.Context, req inner.FetchRecords) (inner.FetchRecordsResponse, error) {
-	resp, err := p.call(ctx, &inner.Request{FetchRecords: &req})
+	resp, err := p.request(ctx, &inner.Request{FetchRecords: &req})
 	if err != nil {
 		return inner.FetchRecordsResponse{}, err
 	}
 	if resp.FetchRecords == nil {
-		return inner.FetchRecordsResponse{}, p.wrongAnswer()
+		return inner.FetchRecordsResponse{}, p.unexpectedResponse()
 	}
 	return *resp.FetchRecords, nil
 }
 
 // FetchState implements Peer.
 func (p *innerPeer) FetchState(ctx context.Context) (inner.FetchStateResponse, error) {
-	resp, err := p.call(ctx, &inner.Request{FetchState: &inner.FetchState{}})
+	resp, err := p.request(ctx, &inner.Request{FetchState: &inner.FetchState{}})
 	if err != nil {
 		return inner.FetchStateResponse{}, err
 	}
 	if resp.FetchState == nil {
-		return inner.FetchStateResponse{}, p.wrongAnswer()
+		return inner.FetchStateResponse{}, p.unexpectedResponse()
 	}
 	return *resp.FetchState, nil
 }
 
-func (p *innerPeer) call(ctx context.Context, req *inner.Request) (*inner.Response, error) {
+func (p *innerPeer) request(ctx context.Context, req *inner.Request) (*inner.Response, error) {
 	resp, err := p.caller.Call(ctx, p.address, req)
 	if err != nil {
 		return nil, err
@@ -57,12 +57,13 @@
 	return resp, nil
 }
 
-func (p *innerPeer) wrongAnswer() error {
-	return errkind.New(errkind.Unavailable, "another peer is asked", "peer %s answered another request", p.id)
+func (p *innerPeer) unexpectedResponse() error {
+	return errkind.New(errkind.Unavailable, "none needed: other peers are queried",
+		"peer %s sent a response to a different request", p.id)
 }
 
-// Handle answers the requests of peers for records and state. It returns nil for every other request, which its caller
-// must answer.
+// Handle returns the response to a request of a peer for records or state. For every other kind of request it returns
+// nil for both results, and the caller must handle the request.
 func (f *Follower) Handle(req *inner.Request) (*inner.Response, error) {
 	switch {
 	case req.FetchRecords != nil:
@@ -78,15 +79,15 @@
 	return nil, nil
 }
 
-// Heartbeat fills in what a heartbeat tells about the configuration.
+// Heartbeat sets the configuration fields of a heartbeat that this process is about to send.
 func (f *Follower) Heartbeat(h *inner.Heartbeat) {
 	status := f.Status()
 	h.HasConfig, h.ConfigVersion, h.ConfigDigest, h.ConfigNext = status.HasConfig, status.Version, status.Digest, status.Next
 }
 
-// HeardHeartbeat takes the hint of a peer's heartbeat and reports whether the peer holds another document under the same
-// version, which needs an operator.
-func (f *Follower) HeardHeartbeat(h *inner.Heartbeat) (diverged bool) {
+// ObserveHeartbeat processes the configuration fields of a peer's heartbeat. It reports whether the peer holds a
+// different document with the same version, in which case an operator must intervene.
+func (f *Follower) ObserveHeartbeat(h *inner.Heartbeat) (diverged bool) {
 	if !h.HasConfig {
 		return false
 	}
@@ -96,6 +97,6 @@
 		return false
 	}
 	f.settings.Logger.Error().Str("vm", h.Member.VM).Uint64("version", own.Version).
-		Msg("a peer holds another configuration under the same version")
+		Msg("peer holds a different configuration with the same version")
 	return true
 }
--- a/configlog/record.go
+++ b/configlog/record.go
@@ -1,8 +1,8 @@
-// Package configlog folds the configuration stream of the platform's log into the configuration in force.
+// Package configlog derives the configuration in force from the configuration stream of the platform's log.
 //
-// The core is pure: State folds records in offset order, and every process that folds the same records holds the same
-// State. The adapter is Follower, which reads the log, falls back to peers, publishes each new document and appends
-// patches, withdrawals and snapshots.
+// State is pure: it folds records in offset order, and every process that folds the same records has the same State.
+// Follower does the I/O: it reads the log, falls back to peers, publishes each new document and appends patches,
+// withdrawals and snapshots.
 package configlog
 
 import (
@@ -14,9 +14,9 @@
 
 // Record is one record of the configuration stream. Exactly one of the pointer fields is set.
 type Record struct {
-	// RuleSet is the number of the validation rules that the fold of this record needs.
+	// RuleSet is the version of the validation rules that the fold of this record requires.
 	RuleSet uint64 `cbor:"rule_set"`
-	// At is the writer's clock in Unix milliseconds. Only the age of snapshots is judged by it.
+	// At is the writer's clock in Unix milliseconds. It is only used for the age of snapshots.
 	At         int64         `cbor:"at"`
 	Patch      *config.Patch `cbor:"patch,omitempty"`
 	Withdraw   *Withdraw     `cbor:"withdraw,omitempty"`
@@ -24,14 +24,14 @@
 	Initialise *Initialise   `cbor:"initialise,omitempty"`
 }
 
-// Withdraw settles a patch that is not in the log so far: it can take no effect behind this record.
+// Withdraw refuses a patch that is not in the log yet: the patch has no effect if it is appended after this record.
 type Withdraw struct {
 	PatchID string `cbor:"patch_id"`
 	Author  string `cbor:"author"`
 	Reason  string `cbor:"reason"`
 }
 
-// Initialise makes version 0 if there is no configuration.
+// Initialise creates version 0 if there is no configuration.
 type Initialise struct {
 	ID       string           `cbor:"id"`
 	Author   string           `cbor:"author"`
@@ -39,47 +39,47 @@
 	Document *config.Document `cbor:"document"`
 }
 
-// Snapshot is the folded state in front of the record at Offset.
+// Snapshot is the state after all records before Offset have been folded.
 type Snapshot struct {
-	// Offset is the offset of the first record that is not folded in.
+	// Offset is the offset of the first record that the state does not include.
 	Offset  uint64 `cbor:"offset"`
 	Version uint64 `cbor:"version"`
-	// Digest is that of Document.
+	// Digest is the digest of Document.
 	Digest   uint64           `cbor:"digest"`
 	Document *config.Document `cbor:"document"`
-	// Decisions are the bounded history, in log order.
+	// Decisions is the bounded history, in log order.
 	Decisions []Decision `cbor:"decisions"`
-	// Skipped is set if the writer skipped expired records and no patch was accepted after them yet.
+	// Skipped is the range in State.Skipped of the writer, which has skipped expired records; nil if there is none.
 	Skipped *SkippedRange `cbor:"skipped,omitempty"`
 }
 
-// SkippedRange tells that the records from From on, up to but without To, expired before any process that could be asked had
-// read them. They have no effect.
+// SkippedRange describes skipped records: those from From, inclusive, to To, exclusive, expired before any reachable
+// process had read them. They have no effect.
 type SkippedRange struct {
 	From uint64 `cbor:"from"`
 	To   uint64 `cbor:"to"`
-	// Version is the one held there.
+	// Version is the version in force when the records were skipped.
 	Version uint64 `cbor:"version"`
 }
 
-// Outcome is what became of a patch.
+// Outcome is the result of a submitted patch, withdrawal or initialise record.
 type Outcome string
 
 // The outcomes.
 const (
 	Accepted Outcome = "accepted"
 	Refused  Outcome = "refused"
-	// Unknown is never folded: the submitter could not read the decision back.
+	// Unknown means that the submitter could not read the decision from the log. A fold never yields it.
 	Unknown Outcome = "unknown"
 )
 
-// Decision is what the fold decided about one patch, withdrawal or initialise record.
+// Decision is the result of the fold of one patch, withdrawal or initialise record.
 type Decision struct {
-	// Offset is that of the deciding record.
+	// Offset is the offset of the record that led to the decision.
 	Offset  uint64  `cbor:"offset" json:"offset"`
 	ID      string  `cbor:"id" json:"id"`
 	Outcome Outcome `cbor:"outcome" json:"outcome"`
-	// Version is the one that the patch made if it was accepted, else the one in force when it was refused.
+	// Version is the version that an accepted patch created, or the version in force when a patch was refused.
 	Version uint64 `cbor:"version" json:"version"`
 	Base    uint64 `cbor:"base" json:"base"`
 	Author  string `cbor:"author" json:"author"`
@@ -88,16 +88,16 @@
 	At int64 `cbor:"at" json:"at_ms"`
 	// Withdrawn marks a refusal by a withdraw record.
 	Withdrawn bool `cbor:"withdrawn,omitempty" json:"withdrawn,omitempty"`
-	// Ops are those of an accepted patch, Undo turns its version into the one before.
+	// Ops are the ops of an accepted patch. Undo holds the ops that turn its version into the previous one.
 	Ops  []config.Op `cbor:"ops,omitempty" json:"ops,omitempty"`
 	Undo []config.Op `cbor:"undo,omitempty" json:"-"`
-	// BaseDigest is that of the document which an accepted patch replaced; 0 for an initialise record.
+	// BaseDigest is the digest of the document that an accepted patch replaced; 0 for an initialise record.
 	BaseDigest uint64 `cbor:"base_digest,omitempty" json:"-"`
-	// Error says why the patch was refused or is unknown.
+	// Error is the reason why the patch was refused or its outcome is unknown.
 	Error *errkind.Error `cbor:"error,omitempty" json:"error,omitempty"`
 }
 
-// Err returns the error of a decision that is not an acceptance, nil for an acceptance.
+// Err returns nil for an accepted patch, otherwise the error of the decision.
 func (d Decision) Err() error {
 	if d.Outcome == Accepted || d.Error == nil {
 		return nil
@@ -113,7 +113,7 @@
 	return mode
 }()
 
-// decMode admits documents of the planned size several times over.
+// decMode raises the limits of the decoder so that documents of several times the planned size can be decoded.
 var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20}.DecMode()
 	if err != nil {
@@ -122,14 +122,14 @@
 	return mode
 }()
 
-// Encode returns the deterministic encoding of r.
+// Encode returns the deterministic CBOR encoding of r. An error has the kind Internal.
 func Encode(r Record) ([]byte, error) {
 	raw, err := encMode.Marshal(r)
-	return raw, errkind.Wrap(err, errkind.Internal, "report this", "configuration record cannot be encoded")
+	return raw, errkind.Wrap(err, errkind.Internal, "report this as a bug", "cannot encode configuration record")
 }
 
-// ruleSetOf reads only the rule-set number, which every later form of the record keeps.
-func ruleSetOf(raw []byte) (uint64, error) {
+// decodeRuleSet decodes only the rule set number, which all future formats of the record retain.
+func decodeRuleSet(raw []byte) (uint64, error) {
 	var head struct {
 		RuleSet uint64 `cbor:"rule_set"`
 	}
@@ -143,7 +143,7 @@
 	return r, err
 }
 
-// EncodeState returns the state as FetchState answers it.
+// EncodeState returns the encoding of s for FetchState, or nil if s has no configuration.
 func EncodeState(s *State) ([]byte, error) {
 	if s == nil || s.Doc == nil {
 		return nil, nil
@@ -151,16 +151,17 @@
 	return Encode(Record{RuleSet: s.RuleSet, At: s.SnapshotAt, Snapshot: s.Snapshot()})
 }
 
-// DecodeState reads what EncodeState made. It refuses a state whose digest is wrong or whose rule set is unknown.
+// DecodeState decodes a state encoded by EncodeState. It returns an error of kind BadInput if the state cannot be
+// decoded, does not match its digest or requires an unknown rule set.
 func DecodeState(raw []byte) (*State, error) {
-	number, err := ruleSetOf(raw)
+	number, err := decodeRuleSet(raw)
 	if err != nil || number > config.RuleSet {
-		return nil, errkind.New(errkind.BadInput, "upgrade this process or ask another peer",
-			"state needs rule set %d, this process knows %d", number, config.RuleSet)
+		return nil, errkind.New(errkind.BadInput, "upgrade this process or query another peer",
+			"state requires rule set %d, but this process supports only %d", number, config.RuleSet)
 	}
 	r, err := decode(raw)
 	if err != nil || r.Snapshot == nil {
-		return nil, errkind.New(errkind.BadInput, "ask another peer", "state cannot be decoded")
+		return nil, errkind.New(errkind.BadInput, "query another peer", "cannot decode configuration state")
 	}
-	return fromSnapshot(r)
+	return stateFromSnapshot(r)
 }
--- a/configlog/scenario_test.go
+++ b/configlog/scenario_test.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// testRetention is short, so that a run sees many expiries.
+	// testRetention is short, so that records expire often during a run.
 	testRetention = 5 * time.Minute
-	// quiet is the fault-free end of a run: longer than IsolatedGapGrace.
-	quiet = 6 * time.Minute
-	// changeEvery is the mean time between two changes at 3,100 changes per day.
-	changeEvery = 24 * time.Hour / 3100
+	// quietPeriod is the length of the fault-free end of a run. It is longer than IsolatedGapGrace.
+	quietPeriod = 6 * time.Minute
+	// changeInterval is the mean time between two changes at the planned rate of 3,100 changes per day.
+	changeInterval = 24 * time.Hour / 3100
 )
 
-// operation is one call of an operator, as its caller saw it.
+// operation is one operation of an operator with its result.
 type operation struct {
 	kind         string // "submit", "withdraw", "read"
 	id           string
@@ -36,19 +36,20 @@
 	valid, known bool
 }
 
-// result is what a run showed.
+// result holds the results of one or more runs.
 type result struct {
-	violations []string
-	operations []operation
-	accepted   int
-	unknown    int
-	voided     int
-	// delays are those from an accepted append to the version being in force on a follower that was reachable, at the
-	// planned rate and in bursts.
+	violations     []string
+	operations     []operation
+	accepted       int
+	unknown        int
+	skippedPatches int
+	// delays and burstDelays hold the times from the append of an accepted patch until its version was in force on a
+	// reachable follower, for changes at the planned rate and in bursts.
 	delays, burstDelays []time.Duration
 }
 
-func mangler(change func(Record) Record) func(infra.Record) infra.Record {
+// recordRewriter returns a function that applies change to an encoded record.
+func recordRewriter(change func(Record) Record) func(infra.Record) infra.Record {
 	return func(r infra.Record) infra.Record {
 		record, err := decode(r.Data)
 		if err != nil {
@@ -61,10 +62,10 @@
 	}
 }
 
-// runScenario is one randomised run in virtual time: nine followers in three failure domains, racing operators, and faults
-// of the log, the network and the followers.
+// runScenario does one randomised run in virtual time with nine followers in three failure domains, concurrent
+// operators, and faults of the log, the network and the followers.
 func runScenario(t *testing.T, seed uint64) *result {
-	// One run in four has mostly late appends, which withdrawals have to settle.
+	// In one run in four most appends are late, so that withdrawals must settle them.
 	late := 0
 	if seed%4 == 0 {
 		late = 60
@@ -86,18 +87,18 @@
 		c.initialise()
 		run := &driver{cluster: c, result: res}
 		end := time.Now().Add(o.duration)
-		drivers.Go(func() { run.faults(ctx, &followers, seed, end) })
-		drivers.Go(func() { run.bursts(ctx, seed, end) })
+		drivers.Go(func() { run.injectFaults(ctx, &followers, seed, end) })
+		drivers.Go(func() { run.runBursts(ctx, seed, end) })
 		for i := range 3 {
-			drivers.Go(func() { run.operate(ctx, seed, i, end) })
+			drivers.Go(func() { run.runOperator(ctx, seed, i, end) })
 		}
 		drivers.Wait()
 		run.healAndSettle(ctx, &followers)
 		cancel()
 		followers.Wait()
-		time.Sleep(30 * time.Second) // late appends end
+		time.Sleep(30 * time.Second) // wait for late appends
 		for _, v := range assertions.Violations() {
-			c.violate("assertion %s", v)
+			c.addViolation("assertion %s", v)
 		}
 		c.check(res)
 	})
@@ -110,11 +111,11 @@
 	boottime.Sleep(ctx, 5*time.Second)
 	d := c.nodes[0].current().Initialise(ctx, Initialise{ID: "init", Author: "ana", Reason: "start", Document: testDocument()})
 	if d.Outcome != Accepted {
-		c.violate("initialise was %s: %v", d.Outcome, d.Err())
+		c.addViolation("initialise was %s: %v", d.Outcome, d.Err())
 	}
 }
 
-// driver makes faults and changes.
+// driver injects faults and submits changes.
 type driver struct {
 	cluster *cluster
 	result  *result
@@ -129,22 +130,23 @@
 	d.result.operations = append(d.result.operations, op)
 }
 
+// exponential returns an exponentially distributed random duration.
 func exponential(rng *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(rng.ExpFloat64() * float64(mean))
 }
 
-// operate submits changes at a third of the planned rate, withdraws some that are unknown, and reads.
-func (d *driver) operate(ctx context.Context, seed uint64, who int, end time.Time) {
-	rng := rand.New(rand.NewPCG(seed, uint64(100+who)))
+// runOperator submits changes at a third of the planned rate, withdraws some of those with unknown outcomes, and reads.
+func (d *driver) runOperator(ctx context.Context, seed uint64, operator int, end time.Time) {
+	rng := rand.New(rand.NewPCG(seed, uint64(100+operator)))
 	for time.Now().Before(end) {
-		boottime.Sleep(ctx, exponential(rng, 3*changeEvery))
-		f := d.pick(rng)
+		boottime.Sleep(ctx, exponential(rng, 3*changeInterval))
+		f := d.randomFollower(rng)
 		if f == nil {
 			continue
 		}
 		op := d.submit(ctx, rng, f, "p")
 		if op.decision.Outcome == Unknown && rng.IntN(2) == 0 {
-			if other := d.pick(rng); other != nil {
+			if other := d.randomFollower(rng); other != nil {
 				d.withdraw(ctx, other, op.id)
 			}
 		}
@@ -154,21 +156,21 @@
 	}
 }
 
-// bursts lets ten operators race with changes for 20 s now and then.
-func (d *driver) bursts(ctx context.Context, seed uint64, end time.Time) {
+// runBursts occasionally makes ten operators submit changes concurrently for 20 s.
+func (d *driver) runBursts(ctx context.Context, seed uint64, end time.Time) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	for time.Now().Before(end) {
 		boottime.Sleep(ctx, exponential(rng, 5*time.Minute))
 		stop := time.Now().Add(20 * time.Second)
 		var group sync.WaitGroup
 		for i := range 10 {
-			own := rand.New(rand.NewPCG(seed, rng.Uint64()+uint64(i)))
+			operatorRNG := rand.New(rand.NewPCG(seed, rng.Uint64()+uint64(i)))
 			group.Go(func() {
 				for time.Now().Before(stop) {
-					if f := d.pick(own); f != nil {
-						d.submit(ctx, own, f, burst)
+					if f := d.randomFollower(operatorRNG); f != nil {
+						d.submit(ctx, operatorRNG, f, burstPrefix)
 					}
-					boottime.Sleep(ctx, exponential(own, 2*time.Second))
+					boottime.Sleep(ctx, exponential(operatorRNG, 2*time.Second))
 				}
 			})
 		}
@@ -176,13 +178,15 @@
 	}
 }
 
-func (d *driver) pick(rng *rand.Rand) *Follower {
+// randomFollower returns the follower of a random node, nil if the node is down.
+func (d *driver) randomFollower(rng *rand.Rand) *Follower {
 	return d.cluster.nodes[rng.IntN(len(d.cluster.nodes))].current()
 }
 
-// burst is the prefix of the ids of patches in bursts.
-const burst = "burst"
+// burstPrefix is the prefix of the ids of patches in bursts.
+const burstPrefix = "burst"
 
+// submit submits a random patch through f and records the operation. One patch in ten is invalid.
 func (d *driver) submit(ctx context.Context, rng *rand.Rand, f *Follower, prefix string) operation {
 	doc := f.Document()
 	if doc == nil {
@@ -209,7 +213,7 @@
 }
 
 func (d *driver) submitPatch(ctx context.Context, f *Follower, patch config.Patch) Decision {
-	if !d.cluster.options.appendErrorMeansNo {
+	if !d.cluster.options.appendErrorIsRefusal {
 		return f.Submit(ctx, patch)
 	}
 	if err := f.append(ctx, Record{RuleSet: config.RuleSet, Patch: &patch}, time.Second); err != nil {
@@ -227,7 +231,7 @@
 	d.record(op)
 }
 
-// read reads the register: the version in force once the follower has caught up with the log.
+// read waits until the follower has caught up with the log and records the version in force as a read of the register.
 func (d *driver) read(ctx context.Context, f *Follower) {
 	ctx, cancel := context.WithTimeout(ctx, 6*time.Second)
 	defer cancel()
@@ -239,27 +243,28 @@
 	d.record(op)
 }
 
-// faults switches faults on and off, one or two at a time.
-func (d *driver) faults(ctx context.Context, group *sync.WaitGroup, seed uint64, end time.Time) {
+// injectFaults repeatedly injects one or two faults at a time and ends them.
+func (d *driver) injectFaults(ctx context.Context, group *sync.WaitGroup, seed uint64, end time.Time) {
 	rng := rand.New(rand.NewPCG(seed, 98))
 	c := d.cluster
 	for time.Now().Before(end) {
 		c.heal(rng)
 		boottime.Sleep(ctx, exponential(rng, 40*time.Second))
 		for range 1 + rng.IntN(2) {
-			d.fault(ctx, group, rng)
+			d.injectFault(ctx, group, rng)
 		}
 		length := exponential(rng, 40*time.Second)
 		if rng.IntN(10) == 0 {
-			length = testRetention + exponential(rng, time.Minute) // records expire meanwhile
+			length = testRetention + exponential(rng, time.Minute) // long enough that records expire
 		}
 		boottime.Sleep(ctx, min(length, 8*time.Minute))
 	}
 }
 
-// heal ends all outages and partitions; lost, late and silent responses go on.
+// heal ends all outages and partitions. Lost responses, late appends and reads without a response continue at new
+// rates.
 func (c *cluster) heal(rng *rand.Rand) {
-	c.locked(func() { c.cutLog, c.cut = [domains]bool{}, [domains][domains]bool{} })
+	c.withLock(func() { c.cutLog, c.cut = [domainCount]bool{}, [domainCount][domainCount]bool{} })
 	c.log.mu.Lock()
 	defer c.log.mu.Unlock()
 	c.log.down, c.log.slow = false, 0
@@ -269,24 +274,25 @@
 	}
 }
 
-func (d *driver) fault(ctx context.Context, group *sync.WaitGroup, rng *rand.Rand) {
+// injectFault injects one random fault.
+func (d *driver) injectFault(ctx context.Context, group *sync.WaitGroup, rng *rand.Rand) {
 	c := d.cluster
 	switch rng.IntN(5) {
 	case 0:
-		c.log.locked(func() { c.log.down, c.log.silent = true, rng.IntN(2) == 0 })
+		c.log.withLock(func() { c.log.down, c.log.silent = true, rng.IntN(2) == 0 })
 	case 1:
-		c.log.locked(func() { c.log.slow = exponential(rng, 2*time.Second) })
+		c.log.withLock(func() { c.log.slow = exponential(rng, 2*time.Second) })
 	case 2:
-		c.locked(func() { c.cutLog[rng.IntN(domains)] = true })
+		c.withLock(func() { c.cutLog[rng.IntN(domainCount)] = true })
 	case 3:
-		a, b := rng.IntN(domains), rng.IntN(domains)
-		c.locked(func() { c.cut[a][b], c.cut[b][a] = a != b, a != b })
+		a, b := rng.IntN(domainCount), rng.IntN(domainCount)
+		c.withLock(func() { c.cut[a][b], c.cut[b][a] = a != b, a != b })
 	case 4:
 		d.restart(ctx, group, rng)
 	}
 }
 
-// restart replaces one to three nodes by new incarnations, each after a while.
+// restart stops one to three nodes, one after the other, and starts a new incarnation of each after a random delay.
 func (d *driver) restart(ctx context.Context, group *sync.WaitGroup, rng *rand.Rand) {
 	for range 1 + rng.IntN(3) {
 		n := d.cluster.nodes[rng.IntN(len(d.cluster.nodes))]
@@ -298,17 +304,17 @@
 	}
 }
 
-// healAndSettle ends all faults, waits, and settles every unknown outcome by a withdrawal.
+// healAndSettle ends all faults, waits for quietPeriod, and settles every unknown outcome by a withdrawal.
 func (d *driver) healAndSettle(ctx context.Context, group *sync.WaitGroup) {
 	c := d.cluster
 	c.heal(rand.New(rand.NewPCG(0, 0)))
-	c.log.locked(func() { c.log.lossPercent, c.log.latePercent, c.log.hangPercent = 0, 0, 0 })
+	c.log.withLock(func() { c.log.lossPercent, c.log.latePercent, c.log.hangPercent = 0, 0, 0 })
 	for _, n := range c.nodes {
 		if n.current() == nil {
 			c.start(ctx, group, n)
 		}
 	}
-	boottime.Sleep(ctx, quiet)
+	boottime.Sleep(ctx, quietPeriod)
 	f := c.nodes[0].current()
 	d.mu.Lock()
 	operations := append([]operation(nil), d.result.operations...)
--- a/configlog/state.go
+++ b/configlog/state.go
@@ -6,87 +6,93 @@
 	"github.com/redwingthread/redwingthread/invariant"
 )
 
-// Bounds of the history, which is part of every snapshot. They are part of the rule set, because all processes must keep
+// Limits of the history, which is part of every snapshot. They belong to the rule set, because all processes must keep
 // the same decisions.
 const (
-	// HistoryLimit is the number of decisions kept.
+	// HistoryLimit is the largest number of decisions kept.
 	HistoryLimit = 2048
-	// HistoryBytes bounds the ops kept for show, diff and replay, in bytes of their values.
+	// HistoryBytes limits the size of the ops kept for show, diff and replay, in bytes of their paths and values.
 	HistoryBytes = 512 << 10
 )
 
-// StopReason says why the fold goes no further.
+// StopReason is the reason why the fold has stopped.
 type StopReason string
 
 // The stop reasons.
 const (
-	// StopRuleSet marks a record that needs rules unknown to this program.
+	// StopRuleSet marks a record that requires a rule set unknown to this program.
 	StopRuleSet StopReason = "rule_set"
-	// StopDisagreement marks two snapshots, or a snapshot and the fold, that disagree at one offset.
+	// StopDisagreement marks a snapshot that disagrees with another one or with the fold at the same offset.
 	StopDisagreement StopReason = "disagreement"
 )
 
-// Stop is the state of a fold that goes no further; the last version stays in force.
+// Stop describes why and where a fold has stopped. The last version stays in force.
 type Stop struct {
 	Reason StopReason `json:"reason"`
-	Offset uint64     `json:"offset"`
-	Detail string     `json:"detail"`
+	// Offset is the offset of the record that stopped the fold.
+	Offset uint64 `json:"offset"`
+	Detail string `json:"detail"`
 }
 
-// State is the fold of the configuration stream. It is not safe for concurrent use. Documents and decisions that it
-// gives out are never changed afterwards.
+// State is the result of folding the configuration stream. It is not safe for concurrent use. It never modifies a
+// document or decision after returning it.
 type State struct {
 	// Next is the offset of the next record to fold.
 	Next uint64
 	// Doc is the document in force, nil before version 0.
-	Doc    *config.Document
+	Doc *config.Document
+	// Digest is the digest of Doc.
 	Digest uint64
-	// RuleSet is the highest rule set of the records folded.
+	// RuleSet is the highest rule set of the folded records.
 	RuleSet uint64
-	// Decisions are the bounded history, in log order.
+	// Decisions is the bounded history, in log order.
 	Decisions []Decision
-	// Stopped is set if the fold goes no further.
+	// Stopped is set if the fold has stopped.
 	Stopped *Stop
-	// Skipped is set if the state skipped expired records, until a patch was accepted after them.
+	// Skipped is the last range of expired records that were skipped. It is cleared when a patch has been accepted
+	// after them and a snapshot covers them.
 	Skipped *SkippedRange
-	// Malformed counts records that hold nothing this program can read; they are skipped.
+	// Malformed counts the records that were ignored because this program could not decode them.
 	Malformed uint64
 	// SnapshotOffset and SnapshotAt are the offset and the writer's clock (Unix milliseconds) of the newest snapshot or
-	// initialise record, and HasSnapshot tells whether there is one.
+	// initialise record. HasSnapshot reports whether there is one.
 	HasSnapshot    bool
 	SnapshotOffset uint64
 	SnapshotAt     int64
 
-	// byID finds decisions by patch id; the values are offsets, which are unique.
-	byID         map[string]uint64
+	// byID maps the id of each decision in the history to its offset, which is unique.
+	byID map[string]uint64
+	// historyBytes is the size of the ops in the history.
 	historyBytes int
-	// floor is the offset from which on the history tells which version was in force.
-	floor uint64
+	// historyStart is the lowest offset for which the history determines the version in force.
+	historyStart uint64
 }
 
-// NewState returns the state in front of the first record of a stream.
+// NewState returns the state before the first record of a stream.
 func NewState() *State { return &State{byID: map[string]uint64{}} }
 
-// fromSnapshot returns the state that a snapshot record holds.
-func fromSnapshot(r Record) (*State, error) {
+// stateFromSnapshot returns the state in a snapshot record. The error has the kind BadInput if the snapshot does not
+// match its digest.
+func stateFromSnapshot(r Record) (*State, error) {
 	snap := r.Snapshot
 	if snap.Document == nil || snap.Document.Version != snap.Version || config.Digest(snap.Document) != snap.Digest {
-		return nil, errkind.New(errkind.BadInput, "ask another source", "snapshot of offset %d does not match its digest", snap.Offset)
+		return nil, errkind.New(errkind.BadInput, "use another snapshot or peer",
+			"snapshot of offset %d does not match its digest", snap.Offset)
 	}
 	s := NewState()
 	s.Next, s.Doc, s.Digest, s.RuleSet = snap.Offset, snap.Document, snap.Digest, r.RuleSet
 	s.Skipped = snap.Skipped
 	for _, d := range snap.Decisions {
-		s.remember(d)
+		s.appendDecision(d)
 	}
-	s.floor = snap.Offset
+	s.historyStart = snap.Offset
 	if len(s.Decisions) > 0 {
-		s.floor = s.Decisions[0].Offset
+		s.historyStart = s.Decisions[0].Offset
 	}
 	return s, nil
 }
 
-// Snapshot returns the state as a snapshot record holds it.
+// Snapshot returns the state in the form of a snapshot record. Doc must not be nil.
 func (s *State) Snapshot() *Snapshot {
 	return &Snapshot{
 		Offset:    s.Next,
@@ -98,16 +104,17 @@
 	}
 }
 
-// Fold applies the record at offset, which must be s.Next, and returns the decision that it made, if any. A record that
-// this program cannot judge stops the fold and leaves Next in front of it. Next is the record that must be folded then;
-// it goes back if the record held the state of a process that had read more.
+// Fold applies the record at offset, which must be s.Next, and returns the resulting decision, or nil if there is none.
+// A record that this program cannot process stops the fold, and Next stays at that record. Afterwards Next is the
+// offset of the next record to fold. It decreases if the record contains the state of a process that had read more,
+// which Fold adopts.
 func (s *State) Fold(offset uint64, raw []byte) *Decision {
 	if s.Stopped != nil || offset != s.Next {
 		return nil
 	}
-	number, err := ruleSetOf(raw)
+	number, err := decodeRuleSet(raw)
 	if err == nil && number > config.RuleSet {
-		s.stop(StopRuleSet, offset, "record needs rule set %d, this process knows %d", number, config.RuleSet)
+		s.stop(StopRuleSet, offset, "record requires rule set %d, but this process supports only %d", number, config.RuleSet)
 		return nil
 	}
 	r, err := decode(raw)
@@ -140,7 +147,7 @@
 	return nil
 }
 
-// foldPatch decides a patch. Only the first record with an id decides it: a second copy changes nothing.
+// foldPatch decides about a patch. Only the first record with an id counts; a second copy has no effect.
 func (s *State) foldPatch(offset uint64, at int64, p config.Patch) *Decision {
 	if _, known := s.byID[p.ID]; known {
 		return nil
@@ -148,23 +155,23 @@
 	d := Decision{Offset: offset, ID: p.ID, Outcome: Refused, Base: p.Base, Author: p.Author, Reason: p.Reason, At: at}
 	if s.Doc == nil {
 		d.Error = errkind.As(errkind.New(errkind.Conflict, "run redwingctl config init first",
-			"patch %q came before the configuration was initialised", p.ID))
-		return s.remember(d)
+			"patch %q precedes the initialisation of the configuration", p.ID))
+		return s.appendDecision(d)
 	}
 	next, err := config.Apply(s.Doc, p)
 	if err != nil {
 		d.Version = s.Doc.Version
-		d.Error = plain(err)
-		return s.remember(d)
+		d.Error = withoutCause(err)
+		return s.appendDecision(d)
 	}
 	d.Outcome, d.Version = Accepted, next.Version
 	d.Ops, d.Undo, d.BaseDigest = p.Ops, config.Diff(next, s.Doc), s.Digest
-	s.install(next)
-	return s.remember(d)
+	s.setDocument(next)
+	return s.appendDecision(d)
 }
 
-// plain drops the cause, which does not travel.
-func plain(err error) *errkind.Error {
+// withoutCause returns the error without its cause, which is not encoded in records and responses.
+func withoutCause(err error) *errkind.Error {
 	typed := errkind.As(err)
 	return &errkind.Error{Kind: typed.Kind, Message: typed.Message, Remedy: typed.Remedy}
 }
@@ -179,7 +186,7 @@
 	}
 	d.Error = &errkind.Error{Kind: errkind.Conflict, Message: "patch " + w.PatchID + " was withdrawn before it took effect",
 		Remedy: "submit the change again with a new id"}
-	return s.remember(d)
+	return s.appendDecision(d)
 }
 
 func (s *State) foldInitialise(offset uint64, at int64, i Initialise) *Decision {
@@ -192,40 +199,40 @@
 		d.Version = s.Doc.Version
 		d.Error = &errkind.Error{Kind: errkind.Conflict, Message: "the configuration is already initialised",
 			Remedy: "submit a patch instead"}
-		return s.remember(d)
+		return s.appendDecision(d)
 	case i.Document == nil:
-		d.Error = &errkind.Error{Kind: errkind.BadInput, Message: "initialise record has no document", Remedy: "give a document"}
-		return s.remember(d)
+		d.Error = &errkind.Error{Kind: errkind.BadInput, Message: "initialise record has no document", Remedy: "provide a document"}
+		return s.appendDecision(d)
 	}
 	doc := config.Normalise(i.Document)
 	doc.Version = 0
 	if err := config.Validate(doc); err != nil {
-		d.Error = plain(err)
-		return s.remember(d)
+		d.Error = withoutCause(err)
+		return s.appendDecision(d)
 	}
 	d.Outcome = Accepted
-	s.install(doc)
-	// The initialise record holds the whole state, as a snapshot does.
-	s.noteSnapshot(offset, at)
-	return s.remember(d)
+	s.setDocument(doc)
+	// The initialise record contains the complete state, like a snapshot.
+	s.setNewestSnapshot(offset, at)
+	return s.appendDecision(d)
 }
 
-// install puts a document in force. A lower version never replaces a higher one.
-func (s *State) install(doc *config.Document) {
-	held := s.Doc
-	if held != nil && !invariant.Check(doc.Version > held.Version, invariant.ConfigurationMonotone,
-		"fold at offset %d goes from version %d to %d", s.Next, held.Version, doc.Version) {
+// setDocument puts a document in force. It never replaces a version by a lower or equal one.
+func (s *State) setDocument(doc *config.Document) {
+	current := s.Doc
+	if current != nil && !invariant.Check(doc.Version > current.Version, invariant.ConfigurationMonotone,
+		"fold at offset %d goes from version %d to %d", s.Next, current.Version, doc.Version) {
 		return
 	}
 	s.Doc, s.Digest = doc, config.Digest(doc)
 }
 
-func (s *State) noteSnapshot(offset uint64, at int64) {
+func (s *State) setNewestSnapshot(offset uint64, at int64) {
 	s.HasSnapshot, s.SnapshotOffset, s.SnapshotAt = true, offset, at
 }
 
-// remember appends a decision and drops the oldest beyond the bounds.
-func (s *State) remember(d Decision) *Decision {
+// appendDecision appends a decision to the history and drops the oldest ones while the history exceeds its limits.
+func (s *State) appendDecision(d Decision) *Decision {
 	s.Decisions = append(s.Decisions, d)
 	s.byID[d.ID] = d.Offset
 	s.historyBytes += opsBytes(d)
@@ -233,12 +240,13 @@
 		oldest := s.Decisions[0]
 		s.historyBytes -= opsBytes(oldest)
 		delete(s.byID, oldest.ID)
-		s.floor = oldest.Offset + 1
+		s.historyStart = oldest.Offset + 1
 		s.Decisions = s.Decisions[1:]
 	}
 	return &s.Decisions[len(s.Decisions)-1]
 }
 
+// opsBytes returns the size of the ops of a decision, in bytes of their paths and values.
 func opsBytes(d Decision) int {
 	n := 0
 	for _, op := range d.Ops {
@@ -250,8 +258,8 @@
 	return n
 }
 
-// SkipTo carries the state on over records that expired before any reachable process read them, up to oldest. The caller
-// has made sure that neither the log nor a peer holds them or a later state.
+// SkipTo skips the records before oldest, which expired before any reachable process read them, and keeps the current
+// document. The caller must have verified that neither the log nor a peer holds the records or a later state.
 func (s *State) SkipTo(oldest uint64) {
 	s.Skipped = &SkippedRange{From: s.Next, To: oldest}
 	s.Next, s.HasSnapshot = oldest, false
@@ -260,18 +268,18 @@
 	}
 }
 
-// Supersedes reports whether s may replace held: it is further on in the log and its version is not lower.
-func (s *State) Supersedes(held *State) bool {
+// Supersedes reports whether s may replace current: it has folded more of the log and its version is not lower.
+func (s *State) Supersedes(current *State) bool {
 	if s.Doc == nil {
 		return false
 	}
-	if held == nil || held.Doc == nil {
+	if current == nil || current.Doc == nil {
 		return true
 	}
-	return s.Next > held.Next && s.Doc.Version >= held.Doc.Version
+	return s.Next > current.Next && s.Doc.Version >= current.Doc.Version
 }
 
-// Clone returns a copy that can be folded on independently.
+// Clone returns a copy that can fold further records independently.
 func (s *State) Clone() *State {
 	next := *s
 	next.Decisions = append([]Decision(nil), s.Decisions...)
--- a/configlog/state_test.go
+++ b/configlog/state_test.go
@@ -31,7 +31,7 @@
 	return s.add(Record{Initialise: &Initialise{ID: "init", Author: "ana", Reason: "start", Document: testDocument()}})
 }
 
-// patch drains the VM named like the patch.
+// patch appends a patch that drains the VM with the same name as the patch.
 func (s *stream) patch(id string, base uint64) *stream {
 	op := config.Op{Op: config.OpSet, Path: "drains/" + id, Value: []byte(`{}`)}
 	return s.add(Record{Patch: &config.Patch{ID: id, Base: base, Author: "ana", Reason: "r", Ops: []config.Op{op}}})
@@ -41,7 +41,7 @@
 	return s.add(Record{Withdraw: &Withdraw{PatchID: id, Author: "ana", Reason: "r"}})
 }
 
-// fold folds the records from state.Next on.
+// fold folds the records from state.Next on until the end of the stream or until the fold stops.
 func (s *stream) fold(state *State) *State {
 	for state.Next < uint64(len(s.records)) && state.Stopped == nil {
 		state.Fold(state.Next, s.records[state.Next])
@@ -49,8 +49,9 @@
 	return state
 }
 
-// TestFold guards against a fold that decides otherwise than the first valid record on the version in force.
-func TestFold(t *testing.T) {
+// TestFoldDecidesByFirstValidRecord guards against a fold that accepts any patch but the first valid one on the version
+// in force.
+func TestFoldDecidesByFirstValidRecord(t *testing.T) {
 	cases := map[string]struct {
 		stream  *stream
 		version uint64
@@ -82,8 +83,8 @@
 	}
 }
 
-// TestUnknownRuleSet guards against a process that folds records whose rules it does not know, and against one that
-// drops the version it has.
+// TestUnknownRuleSet guards against a process that folds records with an unknown rule set, and against one that loses
+// its version because of them.
 func TestUnknownRuleSet(t *testing.T) {
 	st := new(stream).init().patch("a", 0).add(Record{RuleSet: config.RuleSet + 1}).patch("b", 1)
 	s := st.fold(NewState())
@@ -97,9 +98,9 @@
 	}
 }
 
-// TestSnapshotContinues guards against a process that starts from a snapshot and then folds to another state than one
-// that read every record, and against snapshots that are not deterministic.
-func TestSnapshotContinues(t *testing.T) {
+// TestStateFromSnapshotFoldsAlike guards against a process that starts from a snapshot and reaches another state than
+// one that has read all records, and against snapshots that are not deterministic.
+func TestStateFromSnapshotFoldsAlike(t *testing.T) {
 	st := new(stream).init()
 	full := NewState()
 	for i := range uint64(40) {
@@ -126,8 +127,8 @@
 	}
 }
 
-// TestSnapshotAlarm guards against processes that diverged without anyone noticing.
-func TestSnapshotAlarm(t *testing.T) {
+// TestSnapshotDisagreementStopsFold guards against processes that diverge without being detected.
+func TestSnapshotDisagreementStopsFold(t *testing.T) {
 	base := func() *stream { return new(stream).init().patch("a", 0).patch("b", 1) }
 	snapshot := func(change func(*Snapshot)) *stream {
 		st := base()
@@ -148,7 +149,7 @@
 		"offset ahead":    {snapshot(func(s *Snapshot) { s.Offset = 9 }), true},
 		"earlier offset":  {snapshot(func(s *Snapshot) { s.Offset = 2 }), true},
 		"behind a skip":   {snapshot(func(s *Snapshot) { s.Offset, s.Skipped = 2, &SkippedRange{From: 1, To: 2} }), true},
-		"lower with skip": {skipping(base(), 0), false},
+		"lower with skip": {appendSkippingSnapshot(base(), 0), false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -160,8 +161,9 @@
 	}
 }
 
-// skipping appends the snapshot of a process that held only the first record when the others expired.
-func skipping(st *stream, version uint64) *stream {
+// appendSkippingSnapshot appends the snapshot of a process that had folded the records up to offset version when the
+// others expired.
+func appendSkippingSnapshot(st *stream, version uint64) *stream {
 	behind := NewState()
 	for o := range version + 1 {
 		behind.Fold(o, st.records[o])
@@ -170,16 +172,16 @@
 	return st.add(Record{Snapshot: behind.Snapshot()})
 }
 
-// TestSkippedAdoptsHigherVersion guards against two states for good after one process skipped records that
-// another one had read.
+// TestSkippedAdoptsHigherVersion guards against a permanent divergence after one process skipped records that another
+// one had read.
 func TestSkippedAdoptsHigherVersion(t *testing.T) {
 	st := new(stream).init().patch("a", 0)
 	ahead := st.fold(NewState())
 	behind := NewState()
 	behind.Fold(0, st.records[0])
 	behind.SkipTo(2)
-	// The patch behind the snapshot's offset is on a version that only one of them has.
-	skipping(st, 0).patch("c", 1).add(Record{Snapshot: ahead.Snapshot()})
+	// The base of the patch after the snapshot's offset is a version that only one of the two processes has.
+	appendSkippingSnapshot(st, 0).patch("c", 1).add(Record{Snapshot: ahead.Snapshot()})
 	st.fold(ahead)
 	st.fold(behind)
 	if ahead.Stopped != nil || behind.Stopped != nil || ahead.Digest != behind.Digest || behind.Doc.Version != 2 {
@@ -188,16 +190,16 @@
 	empty := NewState()
 	empty.SkipTo(2)
 	if st.fold(empty); empty.Stopped != nil || empty.Digest != ahead.Digest {
-		t.Errorf("a process that had no configuration: %+v", empty.Stopped)
+		t.Errorf("process without a configuration: stopped %+v", empty.Stopped)
 	}
 	if !ahead.SnapshotDue(time.Now(), 0, Retention{Period: time.Hour, EveryRecords: 100}) {
-		t.Error("the process with the higher version need not append it")
+		t.Error("no snapshot is due for the process with the higher version")
 	}
 }
 
-// TestHistory guards against a wrong document for an older version, a replay that ends elsewhere, and history without a
-// bound.
-func TestHistory(t *testing.T) {
+// TestHistoryIsExactAndBounded guards against a wrong document for an older version, a replay that ends with another
+// document, and a history without a limit.
+func TestHistoryIsExactAndBounded(t *testing.T) {
 	st := new(stream).init()
 	s := NewState()
 	var digests []uint64
@@ -234,7 +236,7 @@
 	}
 }
 
-// TestSnapshotDue guards against a state that expires with its oldest record.
+// TestSnapshotDue guards against losing the state because the newest snapshot expires before another one is appended.
 func TestSnapshotDue(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000)
 	retention := Retention{Period: 30 * time.Minute, EveryRecords: 3}
@@ -243,19 +245,19 @@
 	s := st.fold(NewState())
 	due := func(after time.Duration, oldest uint64) bool { return s.SnapshotDue(now.Add(after), oldest, retention) }
 	if due(9*time.Minute, 0) || !due(10*time.Minute, 0) || !due(0, 1) {
-		t.Error("due at the wrong age")
+		t.Error("snapshot is due at the wrong age or offset")
 	}
 	st.patch("a", 0).patch("b", 0).patch("c", 0).fold(s)
 	if !due(0, 0) {
-		t.Error("not due after many records")
+		t.Error("snapshot is not due after EveryRecords records")
 	}
 	if NewState().SnapshotDue(now, 5, retention) {
-		t.Error("due without a configuration")
+		t.Error("snapshot is due without a configuration")
 	}
 }
 
-// TestMonotoneAssertion shows that the assertion of P8 fails a run in which a follower or a fold is given a lower version,
-// and that neither takes it.
+// TestMonotoneAssertion verifies that the assertion of P8 reports a violation when a follower or a fold is given a
+// lower version, and that neither of them uses it.
 func TestMonotoneAssertion(t *testing.T) {
 	var log invariant.Log
 	defer invariant.SetRecorder(log.Record)()
@@ -263,16 +265,16 @@
 	s := st.fold(NewState())
 	lower, _ := s.At(1)
 	f := NewFollower(Settings{})
-	f.begin(s.Clone(), 0)
+	f.setInitialState(s.Clone(), 0)
 	f.state.Doc = lower
 	f.publish()
-	s.install(lower)
+	s.setDocument(lower)
 	if f.Document().Version != 2 || s.Doc.Version != 2 || len(log.Violations()) != 2 {
 		t.Fatalf("versions %d and %d, violations %v", f.Document().Version, s.Doc.Version, log.Violations())
 	}
 	older := new(stream).init().fold(NewState())
 	older.Next = 100
-	if f.replace(older) {
-		t.Error("a peer's state of a lower version is taken")
+	if f.replaceState(older) {
+		t.Error("state with a lower version replaced the current one")
 	}
 }
--- a/configlog/submit.go
+++ b/configlog/submit.go
@@ -12,20 +12,20 @@
 	"github.com/redwingthread/redwingthread/infra"
 )
 
-// retryPause is the pause between two appends of the same record after errors. A second copy is harmless.
-const retryPause = 500 * time.Millisecond
+// appendRetryDelay is the delay between two appends of the same record after errors. A second copy has no effect.
+const appendRetryDelay = 500 * time.Millisecond
 
-// Submit appends a patch and returns its decision. The outcome is Unknown if the decision could not be read back before
-// ctx ended; the patch may then still take effect. An empty id gets a random one.
+// Submit appends a patch and returns its decision. The outcome is Unknown if the decision could not be read from the
+// log before ctx ended; the patch may then still take effect. If the patch has no id, Submit generates one.
 func (f *Follower) Submit(ctx context.Context, patch config.Patch) Decision {
 	if patch.ID == "" {
 		patch.ID = uuid.NewString()
 	}
 	if doc := f.Document(); doc != nil && patch.Base > doc.Version {
-		// The patch may have been written against a version that this process has yet to read.
-		// Without the log a refusal could be wrong: another process may have appended the same patch on that version.
+		// The base may be a version that this process has not read yet. Refusing the patch without reading the log
+		// could be wrong, because another process may have appended the same patch on that version.
 		if f.CatchUp(ctx) != nil {
-			return unknown(patch.ID, "version %d, the base of patch %s, cannot be read from the log", patch.Base, patch.ID)
+			return unknownDecision(patch.ID, "version %d, the base of patch %s, cannot be read from the log", patch.Base, patch.ID)
 		}
 	}
 	if d, done := f.precheck(patch); done {
@@ -35,13 +35,14 @@
 	return f.appendAndSettle(ctx, patch.ID, record)
 }
 
-// precheck decides without the log what can never take effect unless it is appended: the version only grows, so a patch
-// on an older base, a faulty one on the base in force and one on a version that does not exist are refused.
+// precheck decides about a patch without appending it, if possible, and reports whether it did. Since versions only
+// increase, a patch has no effect if its base is older than the version in force, if it is invalid on the version in
+// force, or if its base does not exist. Such a patch is refused.
 func (f *Follower) precheck(patch config.Patch) (Decision, bool) {
 	d := Decision{ID: patch.ID, Outcome: Refused, Base: patch.Base, Author: patch.Author, Reason: patch.Reason}
-	doc, stop := f.stateNow()
+	doc, stop := f.documentAndStop()
 	if doc == nil {
-		d.Error = plain(notInitialised())
+		d.Error = withoutCause(notInitialised())
 		return d, true
 	}
 	if decided, ok := f.decision(patch.ID); ok {
@@ -49,19 +50,20 @@
 	}
 	d.Version = doc.Version
 	if stop != nil {
-		d.Error = &errkind.Error{Kind: errkind.Unavailable, Message: "this process follows the configuration no further: " + stop.Detail,
-			Remedy: "upgrade it or submit through another process"}
+		d.Error = &errkind.Error{Kind: errkind.Unavailable,
+			Message: "this process has stopped applying configuration records: " + stop.Detail,
+			Remedy:  "upgrade it or submit through another process"}
 		return d, true
 	}
 	if _, err := config.Apply(doc, patch); err != nil {
-		d.Error = plain(err)
+		d.Error = withoutCause(err)
 		return d, true
 	}
 	return d, false
 }
 
-// stateNow returns the document in force and the reason for which the fold goes no further, nil if it does.
-func (f *Follower) stateNow() (*config.Document, *Stop) {
+// documentAndStop returns the document in force and the reason why the fold has stopped, or nil if it has not.
+func (f *Follower) documentAndStop() (*config.Document, *Stop) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.state == nil {
@@ -70,7 +72,8 @@
 	return f.state.Doc, f.state.Stopped
 }
 
-// Plan returns the document in force and the one that the patch would make of it, or its refusal.
+// Plan returns the document in force and the document that results from applying patch to it. The error is that of
+// config.Apply, or has the kind NotFound if there is no configuration.
 func (f *Follower) Plan(patch config.Patch) (before, after *config.Document, err error) {
 	doc := f.Document()
 	if doc == nil {
@@ -80,41 +83,45 @@
 	return doc, after, err
 }
 
-// Initialise appends an initialise record and returns its decision. It is refused unless this process has read the log
-// to its end and no peer has a configuration.
+// Initialise appends an initialise record and returns its decision. It refuses the request without an append if the
+// document is missing or invalid, if this process or a peer has a configuration, or if it is not known yet whether one
+// exists, because this process has not read the log to its end or not every peer has responded. If init has no id,
+// Initialise generates one.
 func (f *Follower) Initialise(ctx context.Context, init Initialise) Decision {
 	if init.ID == "" {
 		init.ID = uuid.NewString()
 	}
 	d := Decision{ID: init.ID, Outcome: Refused, Author: init.Author, Reason: init.Reason}
-	if err := f.mayInitialise(ctx, init.Document); err != nil {
-		d.Version, d.Error = versionOf(f.Document()), plain(err)
+	if err := f.checkCanInitialise(ctx, init.Document); err != nil {
+		d.Version, d.Error = versionOf(f.Document()), withoutCause(err)
 		return d
 	}
 	record := Record{RuleSet: config.RuleSet, At: time.Now().UnixMilli(), Initialise: &init}
 	return f.appendAndSettle(ctx, init.ID, record)
 }
 
-func (f *Follower) mayInitialise(ctx context.Context, doc *config.Document) error {
+// checkCanInitialise returns an error if an initialise record must not be appended.
+func (f *Follower) checkCanInitialise(ctx context.Context, doc *config.Document) error {
 	if doc == nil {
-		return errkind.New(errkind.BadInput, "give a document", "there is no document")
+		return errkind.New(errkind.BadInput, "provide a document", "initialise request has no document")
 	}
 	if f.Document() == nil {
-		f.askState(ctx)
+		f.fetchStateFromPeers(ctx)
 	}
 	if f.Document() != nil {
 		return errkind.New(errkind.Conflict, "submit a patch instead", "the configuration is already initialised")
 	}
 	if !f.started() {
-		return errkind.New(errkind.Unavailable, "try again when the log responds and every peer has answered",
-			"it is not known yet whether there is a configuration")
+		return errkind.New(errkind.Unavailable, "retry when the log and every peer respond",
+			"it is not known yet whether a configuration exists")
 	}
 	next := config.Normalise(doc)
 	next.Version = 0
 	return config.Validate(next)
 }
 
-// Withdraw appends a withdraw record and returns the decision about the patch: the earlier one if the patch came first.
+// Withdraw appends a withdraw record and returns the decision about the patch, which is the earlier one if the patch is
+// in the log before the withdraw record.
 func (f *Follower) Withdraw(ctx context.Context, id, author, reason string) Decision {
 	if d, ok := f.decision(id); ok {
 		return d
@@ -123,21 +130,22 @@
 	return f.appendAndSettle(ctx, id, Record{RuleSet: config.RuleSet, At: time.Now().UnixMilli(), Withdraw: &withdraw})
 }
 
-// Settle reads the log to its end and returns the decision about a patch, Unknown if there is none.
+// Settle reads the log to its end and returns the decision about a patch. The outcome is Unknown if there is none.
 func (f *Follower) Settle(ctx context.Context, id string) Decision {
 	err := f.CatchUp(ctx)
 	if d, ok := f.decision(id); ok {
 		return d
 	}
 	if err != nil {
-		return unknown(id, "the log does not respond, so the decision about patch %s cannot be read", id)
+		return unknownDecision(id, "the log does not respond, so the decision about patch %s cannot be read", id)
 	}
-	d := unknown(id, "patch %s is not in the log so far, but may still arrive late", id)
+	d := unknownDecision(id, "patch %s is not in the log yet, but may still be appended", id)
 	d.Error.Remedy = fmt.Sprintf("run redwingctl config withdraw %s to rule it out, or redwingctl config settle %s again", id, id)
 	return d
 }
 
-// CatchUp returns when every record that was in the log at the time of the call has been folded.
+// CatchUp waits until every record that was in the log at the time of the call has been folded. It returns an error if
+// the log cannot be read, or of kind DeadlineExceeded if ctx ends first.
 func (f *Follower) CatchUp(ctx context.Context) error {
 	callCtx, cancel := context.WithTimeout(ctx, f.settings.CallTimeout)
 	defer cancel()
@@ -145,37 +153,38 @@
 	if err != nil {
 		return err
 	}
-	if f.wait(ctx, func(s *State) bool { return s.Next >= resp.Next }) {
+	if f.waitFor(ctx, func(s *State) bool { return s.Next >= resp.Next }) {
 		return nil
 	}
 	return errkind.New(errkind.DeadlineExceeded, "try again", "records up to offset %d were not folded in time", resp.Next)
 }
 
-// appendAndSettle appends a record and waits until the fold has decided about id. A response may be lost after the append
-// took effect, so an error settles nothing: the record is looked for in the log and appended again. The time limit of the
-// append grows, for a log that is slow.
+// appendAndSettle appends a record and waits until the fold has decided about id. Since the response may be lost after
+// a successful append, most errors do not determine the outcome: appendAndSettle waits for the record to appear in the
+// log and otherwise appends it again. It doubles the timeout of each further append in case the log is slow.
 func (f *Follower) appendAndSettle(ctx context.Context, id string, record Record) Decision {
-	for limit := f.settings.CallTimeout; ; limit *= 2 {
-		err := f.append(ctx, record, limit)
+	for timeout := f.settings.CallTimeout; ; timeout *= 2 {
+		err := f.append(ctx, record, timeout)
 		if errkind.Is(err, errkind.BadInput) || errkind.Is(err, errkind.TooLarge) {
-			return Decision{ID: id, Outcome: Refused, Version: versionOf(f.Document()), Error: plain(err)}
+			return Decision{ID: id, Outcome: Refused, Version: versionOf(f.Document()), Error: withoutCause(err)}
 		}
 		waitCtx, cancel := ctx, context.CancelFunc(func() {})
 		if err != nil {
-			waitCtx, cancel = context.WithTimeout(ctx, retryPause)
+			waitCtx, cancel = context.WithTimeout(ctx, appendRetryDelay)
 		}
-		decided := f.wait(waitCtx, func(s *State) bool { _, ok := s.byID[id]; return ok })
+		decided := f.waitFor(waitCtx, func(s *State) bool { _, ok := s.byID[id]; return ok })
 		cancel()
 		if d, ok := f.decision(id); ok {
 			return d
 		}
 		if ctx.Err() != nil || decided {
-			return unknown(id, "the decision about patch %s could not be read back from the log", id)
+			return unknownDecision(id, "the decision about patch %s could not be read from the log", id)
 		}
 	}
 }
 
-func unknown(id, format string, args ...any) Decision {
+// unknownDecision returns a decision with the outcome Unknown and counts it.
+func unknownDecision(id, format string, args ...any) Decision {
 	metricUnknown.Inc(1)
 	return Decision{ID: id, Outcome: Unknown, Error: &errkind.Error{
 		Kind:    errkind.Unknown,
@@ -193,8 +202,9 @@
 	return f.state.Decision(id)
 }
 
-// wait blocks until cond holds for the state, which it reports, or until ctx ends. Cond is called with mu held.
-func (f *Follower) wait(ctx context.Context, cond func(*State) bool) bool {
+// waitFor waits until cond returns true for the state or ctx ends, and reports whether cond returned true. It calls
+// cond with mu held.
+func (f *Follower) waitFor(ctx context.Context, cond func(*State) bool) bool {
 	for {
 		f.mu.Lock()
 		ok := f.state != nil && cond(f.state)
@@ -211,26 +221,27 @@
 	}
 }
 
-// Status is what a follower knows about itself.
+// Status is the status of a follower.
 type Status struct {
 	HasConfig bool   `json:"has_config"`
 	Version   uint64 `json:"version"`
 	Digest    uint64 `json:"digest"`
-	// Next is the offset up to which the stream was folded, and LogTail the end of the log as last seen.
+	// Next is the offset of the next record to fold. LogTail is the next offset of the log in its last response.
 	Next    uint64 `json:"next"`
 	LogTail uint64 `json:"log_tail"`
-	// LogReachable reports whether the last read of the log succeeded; LastRead is the time of the last that did.
+	// LogReachable reports whether the last read of the log succeeded. LastRead is the time of the last successful
+	// read.
 	LogReachable bool      `json:"log_reachable"`
 	LastRead     time.Time `json:"last_read"`
 	LogError     string    `json:"log_error,omitempty"`
-	// SnapshotError is the error of the last append of a snapshot by this process.
+	// SnapshotError is the error of this process's last append of a snapshot; empty if it succeeded.
 	SnapshotError string `json:"snapshot_error,omitempty"`
-	// Stopped is set if the fold goes no further, Alarm if the log broke its contract.
+	// Stopped is set if the fold has stopped. Alarm is set if the log has violated its contract.
 	Stopped *Stop  `json:"stopped,omitempty"`
 	Alarm   string `json:"alarm,omitempty"`
 }
 
-// Status returns what the follower knows about itself.
+// Status returns the current status.
 func (f *Follower) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/configlog/summary_test.go
+++ b/configlog/summary_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// percentile sorts delays and returns their p-th percentile, 0 if there are none.
 func percentile(delays []time.Duration, p int) time.Duration {
 	if len(delays) == 0 {
 		return 0
@@ -17,12 +18,12 @@
 
 func (r *result) summary() string {
 	return fmt.Sprintf("operations %d accepted %d unknown %d voided %d; in force at the planned rate p50 %v p99 %v of %d, in bursts p50 %v p99 %v of %d",
-		len(r.operations), r.accepted, r.unknown, r.voided, percentile(r.delays, 50), percentile(r.delays, 99), len(r.delays),
+		len(r.operations), r.accepted, r.unknown, r.skippedPatches, percentile(r.delays, 50), percentile(r.delays, 99), len(r.delays),
 		percentile(r.burstDelays, 50), percentile(r.burstDelays, 99), len(r.burstDelays))
 }
 
-// TestScenario guards against lost, doubled or reverted changes, divergence between followers, and changes that take
-// longer than 8 s, under faults in combination.
+// TestScenario guards against lost, duplicated or reverted changes, divergence between followers, and changes that take
+// more than 8 s to be in force, under combinations of faults.
 func TestScenario(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
