--- a/config/fault.go
+++ b/config/fault.go
@@ -54,7 +54,7 @@
 	}
 	remedy := l[0].Remedy
 	if len(l) > 1 {
-		remedy = "correct every listed item; no change was made"
+		remedy = "correct every listed item; nothing was changed"
 	}
 	return errkind.Wrap(&FaultsError{Faults: l}, kind, remedy, "%s is refused: %s", subject, strings.Join(lines, "; "))
 }
--- a/config/guarantees.go
+++ b/config/guarantees.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		typed := errkind.As(err)
 		faults.addKind(errkind.Infeasible, "failure_domains/"+fd, typed.Remedy,
-			"no packing was found for the guarantees of failure domain %s: %s", fd, typed.Message)
+			"guarantees cannot be packed in failure domain %s: %s", fd, typed.Message)
 		return
 	}
 	err = CheckPacking(workers, cells)
--- a/config/packing.go
+++ b/config/packing.go
@@ -88,7 +88,7 @@
 	}
 	d := demands[firstUnplaced]
 	return nil, errkind.New(errkind.Infeasible, "guarantee less, relax the adjacency or add workers",
-		"account %s: no placement was found for copy %d of guarantee %d (%s) in addition to the other guarantees",
+		"account %s: no room for copy %d of guarantee %d (%s) next to all other guarantees",
 		d.Account, d.Copy+1, d.Guarantee, formatShape(d.Shape))
 }
 
@@ -100,13 +100,13 @@
 	for _, d := range p.demands {
 		if !feasible[d.Shape] && !p.fitsEmptyWorkers(d.Shape) {
 			return errkind.New(errkind.Infeasible, "guarantee a smaller shape, relax the adjacency or add workers",
-				"account %s: guarantee %d (%s) does not fit even on empty workers", d.Account, d.Guarantee, formatShape(d.Shape))
+				"account %s: guarantee %d (%s) has no room even on empty workers", d.Account, d.Guarantee, formatShape(d.Shape))
 		}
 		feasible[d.Shape] = true
 		needed = needed.Add(d.Shape.Total())
 		if !needed.Fits(p.total) {
 			return errkind.New(errkind.Infeasible, "guarantee less or add workers",
-				"account %s: with copy %d of guarantee %d, all guarantees need %s, but the workers have %s",
+				"account %s: with copy %d of guarantee %d, guarantees need %s of %s",
 				d.Account, d.Copy+1, d.Guarantee, formatResources(needed), formatResources(p.total))
 		}
 	}
--- a/config/patch.go
+++ b/config/patch.go
@@ -94,7 +94,7 @@
 
 func checkPatchHeader(faults *faultList, patch Patch) {
 	if !validName(patch.ID) {
-		faults.add("id", nameRemedy, "patch id %q is not a valid name", patch.ID)
+		faults.add("id", nameRemedy, "patch id %q is not a name", patch.ID)
 	}
 	if patch.Author == "" || len(patch.Author) > MaxTextLength {
 		faults.add("author", fmt.Sprintf("give the author in 1 to %d bytes", MaxTextLength), "author has %d bytes", len(patch.Author))
@@ -171,7 +171,7 @@
 
 func applyPolicy(faults *faultList, doc *Document, opPath string, op Op) {
 	if op.Op == OpRemove {
-		faults.add(opPath, "set the policy to the desired values", "the policy cannot be removed")
+		faults.add(opPath, "set the policy to the values wanted", "the policy cannot be removed")
 		return
 	}
 	var policy Policy
@@ -196,7 +196,7 @@
 func applyItem[V any](faults *faultList, items map[string]V, opPath, name string, op Op, nameField func(*V) *string) {
 	if op.Op == OpRemove {
 		if _, ok := items[name]; !ok {
-			faults.add(opPath, "omit the op or correct the name", "there is nothing to remove")
+			faults.add(opPath, "leave the op out or correct the name", "there is nothing to remove")
 			return
 		}
 		delete(items, name)
@@ -208,7 +208,7 @@
 	}
 	itemName := nameField(&value)
 	if *itemName != "" && *itemName != name {
-		faults.add(opPath, "use the same name in the value and in the path", "value is named %q", *itemName)
+		faults.add(opPath, "make the name in the value equal to that in the path", "value is named %q", *itemName)
 		return
 	}
 	*itemName = name
@@ -218,7 +218,7 @@
 // decodeValue decodes the value of an op into into and reports whether it succeeded.
 func decodeValue(faults *faultList, opPath string, raw json.RawMessage, into any) bool {
 	if err := decodeStrict(raw, into); err != nil {
-		faults.add(opPath, "provide the item as a JSON object with known fields", "value cannot be decoded: %v", err)
+		faults.add(opPath, "give the item as a JSON object with known fields", "value cannot be read: %v", err)
 		return false
 	}
 	return true
@@ -232,7 +232,7 @@
 		return err
 	}
 	if decoder.More() {
-		return fmt.Errorf("unexpected data after the JSON value")
+		return fmt.Errorf("there is text after the value")
 	}
 	return nil
 }
--- a/config/validate.go
+++ b/config/validate.go
@@ -72,7 +72,7 @@
 	for _, vm := range sortedKeys(doc.Drains) {
 		checkName(faults, "drains/"+vm, vm, doc.Drains[vm].VM)
 		if len(doc.Drains[vm].Reason) > MaxTextLength {
-			faults.add("drains/"+vm, fmt.Sprintf("limit the reason to %d bytes", MaxTextLength), "reason is too long")
+			faults.add("drains/"+vm, fmt.Sprintf("give the reason in at most %d bytes", MaxTextLength), "reason is too long")
 		}
 	}
 	checkPolicy(faults, doc.Policy)
@@ -80,22 +80,22 @@
 
 func checkName(faults *faultList, path, key, itemName string) {
 	if !validName(key) {
-		faults.add(path, nameRemedy, "%q is not a valid name", key)
+		faults.add(path, nameRemedy, "%q is not a name", key)
 	}
 	if itemName != key {
-		faults.add(path, "use the key as the name", "item is named %q", itemName)
+		faults.add(path, "make the name equal to the key", "item is named %q", itemName)
 	}
 }
 
 func checkFailureDomains(faults *faultList, doc *Document) {
 	if len(doc.FailureDomains) == 0 {
-		faults.add("failure_domains", "configure at least one", "no failure domain is configured")
+		faults.add("failure_domains", "configure at least one", "there is no failure domain")
 	}
 	for _, name := range sortedKeys(doc.FailureDomains) {
 		path := "failure_domains/" + name
 		checkName(faults, path, name, doc.FailureDomains[name].Name)
 		if region := doc.FailureDomains[name].Region; !validName(region) {
-			faults.add(path, nameRemedy, "region %q is not a valid name", region)
+			faults.add(path, nameRemedy, "region %q is not a name", region)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 
 func checkAddress(faults *faultList, path, address string) {
 	if parsed, err := netip.ParseAddrPort(address); err != nil || parsed.Port() == 0 {
-		faults.add(path, "use an IP address and port, for example 10.0.0.1:8080", "address %q is invalid", address)
+		faults.add(path, "give IP number and port, for example 10.0.0.1:8080", "address %q cannot be used", address)
 	}
 }
 
@@ -121,15 +121,15 @@
 		checkName(faults, path, id, w.ID)
 		checkDomainExists(faults, doc, path, w.FailureDomain)
 		if !validName(w.Rack) {
-			faults.add(path, nameRemedy, "rack %q is not a valid name", w.Rack)
+			faults.add(path, nameRemedy, "rack %q is not a name", w.Rack)
 		}
 		c := w.Capacity
 		if c.Accelerators < 0 || c.MilliCPU <= 0 || c.MemoryMB <= 0 || !inRange(c) {
-			faults.add(path, "use positive amounts of CPU and memory and at least 0 accelerators", "capacity is out of range")
+			faults.add(path, "give processors and memory above 0 and no negative accelerators", "capacity is out of range")
 		}
 		checkAddress(faults, path, w.Address)
 		if other, ok := byAddress[w.Address]; ok {
-			faults.add(path, "give each worker its own address", "address %s is already used by worker %s", w.Address, other)
+			faults.add(path, "give each worker an address of its own", "address %s is that of worker %s", w.Address, other)
 		}
 		byAddress[w.Address] = id
 	}
@@ -145,16 +145,16 @@
 	pathByDigest := map[string]string{}
 	checkDigest := func(path, digest string) {
 		if !ValidTokenDigest(digest) {
-			faults.add(path, "use the SHA-256 digest of the token as 64 lower-case hex digits", "token digest is invalid")
+			faults.add(path, "give the SHA-256 digest of the token as 64 lower-case hex digits", "token digest cannot be used")
 			return
 		}
 		if other, ok := pathByDigest[digest]; ok {
-			faults.add(path, "generate a new token", "token is already used by %s", other)
+			faults.add(path, "make a new token", "token is also that of %s", other)
 		}
 		pathByDigest[digest] = path
 	}
 	if len(doc.Operators) == 0 {
-		faults.add("operators", "keep at least one operator", "without an operator nobody can change the configuration")
+		faults.add("operators", "keep at least one operator", "nobody could change the configuration any more")
 	}
 	for _, name := range sortedKeys(doc.Operators) {
 		checkName(faults, "operators/"+name, name, doc.Operators[name].Name)
@@ -175,10 +175,10 @@
 			faults.add(path, fmt.Sprintf("use a weight of 1 to %d", MaxWeight), "weight is %d", a.Weight)
 		}
 		if a.Quota < 0 {
-			faults.add(path, "use 0 for no limit", "quota is %d", a.Quota)
+			faults.add(path, "use 0 for no bound", "quota is %d", a.Quota)
 		}
 		if a.RetryBudgetPercent < 0 || a.RetryBudgetPercent > 100 {
-			faults.add(path, "use 1 to 100, or 0 for the default", "retry budget is %d%%", a.RetryBudgetPercent)
+			faults.add(path, "use 0 to 100, 0 for the default", "retry budget is %d%%", a.RetryBudgetPercent)
 		}
 		checkAccountGuarantees(faults, doc, path, a, membersByDomain)
 	}
@@ -196,7 +196,7 @@
 			continue
 		}
 		if g.Count < 1 || g.Count > MaxGuaranteeMembers || !inRange(g.Shape.PerMember) {
-			faults.add(guaranteePath, "use a count of at least 1 and resources that fit on one worker",
+			faults.add(guaranteePath, "use a count of 1 or more and amounts that a worker can hold",
 				"count %d or shape is out of range", g.Count)
 			continue
 		}
@@ -233,10 +233,10 @@
 			checkDomainExists(faults, doc, endpointPath, e.FailureDomain)
 			checkAddress(faults, endpointPath, e.Address)
 			if e.Slots < 1 || e.MaxConnections < 1 {
-				faults.add(endpointPath, "use at least 1 of each", "endpoint has %d slots and %d connections", e.Slots, e.MaxConnections)
+				faults.add(endpointPath, "use 1 or more of each", "endpoint has %d slots and %d connections", e.Slots, e.MaxConnections)
 			} else if e.MaxConnections < doc.Policy.GatewaySeats {
 				// Each gateway may open max_connections / gateway_seats connections, rounded down, which must not be 0.
-				faults.add(endpointPath, "allow at least one connection for each gateway seat, or lower policy.gateway_seats",
+				faults.add(endpointPath, "allow a connection for each seat, or lower policy.gateway_seats",
 					"endpoint has %d connections for %d gateway seats", e.MaxConnections, doc.Policy.GatewaySeats)
 			}
 		}
--- a/configlog/record.go
+++ b/configlog/record.go
@@ -94,6 +94,8 @@
 	// BaseDigest is the digest of the document that an accepted patch replaced; 0 for an initialise record.
 	BaseDigest uint64 `cbor:"base_digest,omitempty" json:"-"`
 	// Error is the reason why the patch was refused or its outcome is unknown.
+	// The texts that a fold puts into it are stored in snapshots and sent to peers: all builds that run side by side must
+	// produce the same texts for the same record.
 	Error *errkind.Error `cbor:"error,omitempty" json:"error,omitempty"`
 }
 
--- a/configlog/state.go
+++ b/configlog/state.go
@@ -155,7 +155,7 @@
 	d := Decision{Offset: offset, ID: p.ID, Outcome: Refused, Base: p.Base, Author: p.Author, Reason: p.Reason, At: at}
 	if s.Doc == nil {
 		d.Error = errkind.As(errkind.New(errkind.Conflict, "run redwingctl config init first",
-			"patch %q precedes the initialisation of the configuration", p.ID))
+			"patch %q came before the configuration was initialised", p.ID))
 		return s.appendDecision(d)
 	}
 	next, err := config.Apply(s.Doc, p)
@@ -201,7 +201,7 @@
 			Remedy: "submit a patch instead"}
 		return s.appendDecision(d)
 	case i.Document == nil:
-		d.Error = &errkind.Error{Kind: errkind.BadInput, Message: "initialise record has no document", Remedy: "provide a document"}
+		d.Error = &errkind.Error{Kind: errkind.BadInput, Message: "initialise record has no document", Remedy: "give a document"}
 		return s.appendDecision(d)
 	}
 	doc := config.Normalise(i.Document)
