--- a/daemon/base.go
+++ b/daemon/base.go
@@ -15,38 +15,39 @@
 	"github.com/redwingthread/redwingthread/telemetry"
 )
 
-// traceFlushTimeout bounds the write of the remaining spans at the end of the process.
+// traceFlushTimeout bounds the export of the remaining spans when the process stops.
 const traceFlushTimeout = 2 * time.Second
 
-// base holds the parts that both daemons start in the same way.
+// base holds the components that the gateway and the scheduler daemon have in common.
 type base struct {
-	self     inner.Member
-	log      zerolog.Logger
-	keys     *inner.KeyStore
-	mux      *Mux
-	node     *Node
-	logs     infra.Log
-	follower *configlog.Follower
+	self      inner.Member
+	log       zerolog.Logger
+	keys      *inner.KeyStore
+	mux       *Mux
+	node      *Node
+	logClient infra.Log
+	follower  *configlog.Follower
 
 	innerServer   *inner.Server
 	metricsServer *HTTPServer
 	flushSpans    func(context.Context) error
 }
 
-// hooks are what differs between the daemons in the common part.
+// hooks are the callbacks by which each daemon adapts base.
 type hooks struct {
-	// describe adds the daemon's state to an outgoing heartbeat.
-	describe func(*inner.Heartbeat)
-	// observe takes received heartbeats and may be nil.
-	observe func(inner.Heartbeat)
-	// observeVMs takes the platform's list of VMs and may be nil.
+	// fillHeartbeat sets the daemon-specific fields of an outgoing heartbeat.
+	fillHeartbeat func(*inner.Heartbeat)
+	// onHeartbeat is called with each received heartbeat; it may be nil.
+	onHeartbeat func(inner.Heartbeat)
+	// observeVMs is called with each list of VMs read from the platform; it may be nil.
 	observeVMs func([]infra.VM)
-	// ready reports whether the daemon takes work.
+	// ready reports whether the daemon accepts work.
 	ready func() bool
 }
 
-// newBase loads the keys and opens the listeners. Nothing runs before start.
-func newBase(common settings.Common, self inner.Member, metricsAddress string, log zerolog.Logger, h hooks) (*base, error) {
+// newBase loads the keys and opens the listeners. It starts no goroutines; start does.
+func newBase(common settings.Common, self inner.Member, metricsAddress string, log zerolog.Logger,
+	callbacks hooks) (*base, error) {
 	b := &base{self: self, log: log, mux: &Mux{}}
 	var err error
 	b.keys, err = inner.NewKeyStore(inner.KeyFiles{Certificate: common.TLS.Certificate, Key: common.TLS.Key,
@@ -54,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if b.logs, err = infra.NewLogClient(common.Platform.LogURL); err != nil {
+	if b.logClient, err = infra.NewLogClient(common.Platform.LogURL); err != nil {
 		return nil, err
 	}
 	vms, err := infra.NewVMListClient(common.Platform.VMListURL)
@@ -67,17 +68,17 @@
 		return nil, err
 	}
 	b.node = NewNode(Options{
-		Self:       self,
-		Seeds:      seedMembers(common, self.Role),
-		Keys:       b.keys,
-		VMs:        vms,
-		Log:        log,
-		Describe:   func(beat *inner.Heartbeat) { b.describe(beat, h.describe) },
-		Observe:    func(beat inner.Heartbeat) { b.observe(beat, h.observe) },
-		ObserveVMs: h.observeVMs,
+		Self:          self,
+		Seeds:         seedMembers(common, self.Role),
+		Keys:          b.keys,
+		VMs:           vms,
+		Log:           log,
+		FillHeartbeat: func(heartbeat *inner.Heartbeat) { b.fillHeartbeat(heartbeat, callbacks.fillHeartbeat) },
+		OnHeartbeat:   func(heartbeat inner.Heartbeat) { b.onHeartbeat(heartbeat, callbacks.onHeartbeat) },
+		ObserveVMs:    callbacks.observeVMs,
 	}, b.mux)
 	b.follower = configlog.NewFollower(configlog.Settings{
-		Log:         b.logs,
+		Log:         b.logClient,
 		Peers:       b.node.configPeers,
 		Logger:      log,
 		Retention:   configlog.Retention{Period: milliseconds(common.Platform.RetentionMS)},
@@ -87,11 +88,12 @@
 	if b.innerServer, err = inner.Listen(self.Address, b.keys, b.mux); err != nil {
 		return nil, err
 	}
-	b.metricsServer, err = ListenHTTP(metricsAddress, "listen.metrics", NewMetricsServer(h.ready), metricsMaxConnections)
+	b.metricsServer, err = ListenHTTP(metricsAddress, "listen.metrics", NewMetricsServer(callbacks.ready),
+		metricsMaxConnections)
 	return b, err
 }
 
-// seedMembers returns the seed list of the settings as members.
+// seedMembers converts the seed list of the settings, without this process, to members.
 func seedMembers(common settings.Common, role string) []inner.Member {
 	var members []inner.Member
 	for _, peer := range common.OtherPeers(role) {
@@ -101,7 +103,7 @@
 	return members
 }
 
-// serveConfig answers peers that follow the configuration through this daemon.
+// serveConfig registers the handlers for peers that read the configuration from this daemon.
 func (b *base) serveConfig() {
 	b.mux.FetchRecords = func(_ context.Context, req *inner.FetchRecords) (*inner.FetchRecordsResponse, error) {
 		resp := b.follower.FetchRecords(*req)
@@ -113,36 +115,39 @@
 	}
 }
 
-func (b *base) describe(beat *inner.Heartbeat, more func(*inner.Heartbeat)) {
+// fillHeartbeat sets the configuration fields of an outgoing heartbeat, then the daemon-specific ones with fillSpecific.
+func (b *base) fillHeartbeat(heartbeat *inner.Heartbeat, fillSpecific func(*inner.Heartbeat)) {
 	status := b.follower.Status()
-	beat.HasConfig = status.HasConfig
-	beat.ConfigVersion = status.Version
-	beat.ConfigDigest = status.Digest
-	beat.ConfigNext = status.Next
-	more(beat)
+	heartbeat.HasConfig = status.HasConfig
+	heartbeat.ConfigVersion = status.Version
+	heartbeat.ConfigDigest = status.Digest
+	heartbeat.ConfigNext = status.Next
+	fillSpecific(heartbeat)
 }
 
-func (b *base) observe(beat inner.Heartbeat, more func(inner.Heartbeat)) {
-	b.follower.Hint(beat.ConfigNext)
-	if more != nil {
-		more(beat)
+// onHeartbeat passes the configuration offset of a received heartbeat to the follower, then the heartbeat to next,
+// if set.
+func (b *base) onHeartbeat(heartbeat inner.Heartbeat, next func(inner.Heartbeat)) {
+	b.follower.Hint(heartbeat.ConfigNext)
+	if next != nil {
+		next(heartbeat)
 	}
 }
 
-// start runs the common parts until ctx ends.
-func (b *base) start(ctx context.Context, reload time.Duration) {
+// start runs the common components until ctx ends. The TLS keys are reloaded at the given interval.
+func (b *base) start(ctx context.Context, keyReloadInterval time.Duration) {
 	go b.innerServer.Serve(ctx)
 	go b.metricsServer.Serve(b.log)
-	go b.keys.Watch(ctx, reload, func(err error) {
+	go b.keys.Watch(ctx, keyReloadInterval, func(err error) {
 		b.log.Error().Err(err).Msg("key reload failed, the previous keys stay in use")
 	})
 	go b.follower.Run(ctx)
-	go b.logVersions(ctx)
+	go b.logConfigVersions(ctx)
 	go b.node.Run(ctx)
 }
 
-// logVersions writes a line for each configuration version that comes into force.
-func (b *base) logVersions(ctx context.Context) {
+// logConfigVersions logs each configuration version that comes into force, until ctx ends.
+func (b *base) logConfigVersions(ctx context.Context) {
 	documents, stop := b.follower.Subscribe()
 	defer stop()
 	for {
@@ -155,31 +160,32 @@
 	}
 }
 
-// close ends the common parts after the daemon's own work is done. ctx bounds the wait for peers' exchanges.
+// close stops the common components; the daemon's own work must be done before. ctx bounds the wait for requests of
+// peers and of the metrics listener that are in progress.
 func (b *base) close(ctx context.Context) {
 	b.innerServer.Close(ctx)
 	b.metricsServer.Shutdown(ctx)
 	b.node.Client().Close()
-	flush, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
+	flushCtx, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
 	defer cancel()
-	if err := b.flushSpans(flush); err != nil {
-		b.log.Warn().Err(err).Msg("spans were lost at the end of the process")
+	if err := b.flushSpans(flushCtx); err != nil {
+		b.log.Warn().Err(err).Msg("remaining trace spans could not be exported")
 	}
 }
 
-// drained reports whether the configuration asks for this VM to be emptied.
-func (b *base) drained() bool {
+// drainRequested reports whether the configuration asks to drain this VM.
+func (b *base) drainRequested() bool {
 	doc := b.follower.Document()
-	return doc != nil && isDrained(doc, b.self.VM)
+	return doc != nil && drainConfigured(doc, b.self.VM)
 }
 
-func isDrained(doc *config.Document, vm string) bool {
+func drainConfigured(doc *config.Document, vm string) bool {
 	_, ok := doc.Drains[vm]
 	return ok
 }
 
-// limitHTTP returns server with the limits of the settings.
-func limitHTTP(handler http.Handler, limits settings.Limits) *http.Server {
+// newOperatorServer returns the HTTP server of the operator API with the limits of the settings.
+func newOperatorServer(handler http.Handler, limits settings.Limits) *http.Server {
 	return &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: milliseconds(limits.ReadHeaderTimeoutMS),
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -21,48 +21,49 @@
 )
 
 const (
-	// operatorRequestTimeout bounds an exchange with an operator. It is above operatorDecisionTimeout, so that an
-	// undecided change is reported as unknown instead of a cut connection.
+	// operatorRequestTimeout bounds a request to the operator API. It is longer than operatorDecisionTimeout, so that an
+	// undecided change is reported as unknown instead of by a closed connection.
 	operatorRequestTimeout = 15 * time.Second
-	// operatorDecisionTimeout bounds the wait for the log's decision about a change.
+	// operatorDecisionTimeout bounds the wait until the log has decided whether a change is accepted.
 	operatorDecisionTimeout = 10 * time.Second
 )
 
-// RunGateway runs the gateway daemon until ctx ends, then stops it gracefully: it turns unready, goes on accepting for
-// the balancer's reaction time, finishes what it accepted and closes. The error is typed; nil after a graceful stop.
+// RunGateway runs the gateway daemon until ctx ends, then shuts it down gracefully: it reports unready, keeps accepting
+// requests for the balancer's reaction time, completes the accepted ones and closes. The error is typed (package errkind);
+// nil after a graceful shutdown.
 func RunGateway(ctx context.Context, s settings.Gateway, log zerolog.Logger, self inner.Member) error {
 	d := &gatewayDaemon{settings: s, log: log}
 	if err := d.open(self); err != nil {
 		return err
 	}
-	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	d.start(running)
+	d.start(runCtx)
 	log.Info().Str("callers", s.Listen.Callers).Str("operators", s.Listen.Operators).Msg("gateway started")
 	<-ctx.Done()
 	return d.stop()
 }
 
-// gatewayDaemon holds the parts of a running gateway daemon.
+// gatewayDaemon holds the components of a running gateway daemon.
 type gatewayDaemon struct {
-	settings  settings.Gateway
-	log       zerolog.Logger
-	base      *base
-	gateway   *gateway.Gateway
-	callers   net.Listener
-	operators *HTTPServer
-	// stopping is set when the graceful stop begins, for the heartbeats.
+	settings       settings.Gateway
+	log            zerolog.Logger
+	base           *base
+	gateway        *gateway.Gateway
+	callerListener net.Listener
+	operatorServer *HTTPServer
+	// stopping is set when the graceful shutdown begins; heartbeats then report the gateway as leaving.
 	stopping atomic.Bool
 }
 
-// open prepares all parts and opens the listeners.
+// open creates all components and opens the listeners.
 func (d *gatewayDaemon) open(self inner.Member) error {
 	var err error
 	d.base, err = newBase(d.settings.Common, self, d.settings.Listen.Metrics, d.log, hooks{
-		describe:   d.describe,
-		observe:    d.observe,
-		observeVMs: func(vms []infra.VM) { d.gateway.ObserveVMs(vms) },
-		ready:      d.ready,
+		fillHeartbeat: d.fillHeartbeat,
+		onHeartbeat:   d.onHeartbeat,
+		observeVMs:    func(vms []infra.VM) { d.gateway.ObserveVMs(vms) },
+		ready:         d.ready,
 	})
 	if err != nil {
 		return err
@@ -71,7 +72,7 @@
 		return err
 	}
 	d.base.mux.Forward = d.forward
-	d.callers, err = net.Listen("tcp", d.settings.Listen.Callers)
+	d.callerListener, err = net.Listen("tcp", d.settings.Listen.Callers)
 	if err != nil {
 		return errkind.Wrap(err, errkind.Unavailable, "check listen.callers in the settings", "listen on %s",
 			d.settings.Listen.Callers)
@@ -95,7 +96,7 @@
 		Log:          d.log,
 		Keys:         keys,
 		Queue:        queue,
-		Drained:      d.base.drained,
+		Drained:      d.base.drainRequested,
 		ReactionTime: milliseconds(d.settings.Shutdown.DrainMS),
 		Listener: gateway.ListenerLimits{
 			Connections: int(limits.MaxConnections),
@@ -109,7 +110,7 @@
 // openOperatorAPI opens the operator listener.
 func (d *gatewayDaemon) openOperatorAPI() error {
 	querier := jobquery.New(d.base.node.Client(), d.base.node.schedulerAddresses)
-	service, err := jobs.NewService(jobs.ServiceOptions{Log: d.base.logs, Config: d.base.follower.Document,
+	service, err := jobs.NewService(jobs.ServiceOptions{Log: d.base.logClient, Config: d.base.follower.Document,
 		Querier: querier})
 	if err != nil {
 		return err
@@ -124,41 +125,42 @@
 		Timeout:              operatorDecisionTimeout,
 		Ready:                d.ready,
 	})
-	d.operators, err = ListenHTTP(d.settings.Listen.Operators, "listen.operators", limitHTTP(api, d.settings.Limits),
-		int(d.settings.Limits.MaxConnections))
+	d.operatorServer, err = ListenHTTP(d.settings.Listen.Operators, "listen.operators",
+		newOperatorServer(api, d.settings.Limits), int(d.settings.Limits.MaxConnections))
 	return err
 }
 
 func (d *gatewayDaemon) start(ctx context.Context) {
 	d.base.start(ctx, milliseconds(d.settings.TLS.ReloadMS))
 	go d.gateway.Run(ctx)
-	go d.announceLeaving(ctx)
-	go d.operators.Serve(d.log)
+	go d.announceLeavingEndpoints(ctx)
+	go d.operatorServer.Serve(d.log)
 	go func() {
-		if err := d.gateway.Serve(d.callers); err != nil {
-			d.log.Error().Err(err).Msg("caller listener ended")
+		if err := d.gateway.Serve(d.callerListener); err != nil {
+			d.log.Error().Err(err).Msg("caller listener stopped unexpectedly")
 		}
 	}()
 }
 
-// stop is the planned stop. The heartbeats go on until the callers are served, so that peers see the gateway leave.
+// stop shuts the gateway down gracefully. Heartbeats continue until the accepted requests are complete, so that peers
+// learn that the gateway is leaving.
 func (d *gatewayDaemon) stop() error {
 	d.stopping.Store(true)
 	d.log.Info().Msg("graceful shutdown started")
-	bound := milliseconds(d.settings.Shutdown.DrainMS + d.settings.Shutdown.FinishMS)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	timeout := milliseconds(d.settings.Shutdown.DrainMS + d.settings.Shutdown.FinishMS)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	err := d.gateway.Shutdown(ctx)
-	d.operators.Shutdown(ctx)
+	d.operatorServer.Shutdown(ctx)
 	d.base.close(ctx)
 	d.log.Info().Err(err).Msg("graceful shutdown finished")
 	return err
 }
 
-// announceLeaving sends a heartbeat at once when an endpoint is found to be leaving, until ctx ends. Gateways that have
-// not asked the endpoint since then learn it without waiting for the interval.
-func (d *gatewayDaemon) announceLeaving(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+// announceLeavingEndpoints sends heartbeats to the gateways as soon as an endpoint is found to be leaving, until ctx ends.
+// Gateways that have not contacted the endpoint since then need not wait for the heartbeat interval.
+func (d *gatewayDaemon) announceLeavingEndpoints(ctx context.Context) {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	announced := make(map[inner.EndpointIncarnation]bool)
 	for {
@@ -168,13 +170,13 @@
 		case <-ticker.C:
 		}
 		leaving := make(map[inner.EndpointIncarnation]bool)
-		fresh := false
+		unannounced := false
 		for _, endpoint := range d.gateway.LeavingEndpoints() {
 			leaving[endpoint] = true
-			fresh = fresh || !announced[endpoint]
+			unannounced = unannounced || !announced[endpoint]
 		}
 		announced = leaving
-		if fresh {
+		if unannounced {
 			d.base.node.ExpediteGateways()
 		}
 	}
@@ -188,14 +190,14 @@
 	return ok
 }
 
-func (d *gatewayDaemon) describe(beat *inner.Heartbeat) {
-	beat.Ready = d.ready()
-	beat.Leaving = beat.Leaving || d.stopping.Load() || d.base.drained()
-	beat.LeavingEndpoints = d.gateway.LeavingEndpoints()
+func (d *gatewayDaemon) fillHeartbeat(heartbeat *inner.Heartbeat) {
+	heartbeat.Ready = d.ready()
+	heartbeat.Leaving = heartbeat.Leaving || d.stopping.Load() || d.base.drainRequested()
+	heartbeat.LeavingEndpoints = d.gateway.LeavingEndpoints()
 }
 
-func (d *gatewayDaemon) observe(beat inner.Heartbeat) {
-	d.gateway.LearnLeaving(beat.LeavingEndpoints)
+func (d *gatewayDaemon) onHeartbeat(heartbeat inner.Heartbeat) {
+	d.gateway.LearnLeaving(heartbeat.LeavingEndpoints)
 }
 
 func (d *gatewayDaemon) forward(ctx context.Context, req *inner.Forward) (*inner.ForwardResponse, error) {
@@ -206,7 +208,8 @@
 	return resp.Forward, nil
 }
 
-// jobsAdapter makes jobs.Service an operatorapi.Jobs. The API checks the account before it cancels or shows a job.
+// jobsAdapter adapts jobs.Service to operatorapi.Jobs. It passes no account to Cancel and Get, because the operator API
+// checks the account before it cancels or shows a job.
 type jobsAdapter struct{ service *jobs.Service }
 
 // Submit implements operatorapi.Jobs.
--- a/daemon/http.go
+++ b/daemon/http.go
@@ -22,33 +22,34 @@
 	metricsMaxConnections = 16
 )
 
-// HTTPServer is a listener with its server.
+// HTTPServer is an HTTP server with its open listener.
 type HTTPServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-// ListenHTTP opens address (host:port, TCP) for server, with at most connections open at once; others wait to be accepted.
+// ListenHTTP opens address (host:port, TCP) for server. At most maxConnections are open at once; further ones wait in the
+// accept backlog.
 // It returns an Unavailable error that names the setting if the address cannot be opened.
-func ListenHTTP(address, setting string, server *http.Server, connections int) (*HTTPServer, error) {
+func ListenHTTP(address, setting string, server *http.Server, maxConnections int) (*HTTPServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errkind.Wrap(err, errkind.Unavailable, "check "+setting+" in the settings", "listen on %s", address)
 	}
-	return &HTTPServer{server: server, listener: netutil.LimitListener(listener, connections)}, nil
+	return &HTTPServer{server: server, listener: netutil.LimitListener(listener, maxConnections)}, nil
 }
 
-// Serve accepts connections until Shutdown.
+// Serve accepts connections until Shutdown. It logs an error if accepting fails before that.
 func (s *HTTPServer) Serve(log zerolog.Logger) {
 	if err := s.server.Serve(s.listener); err != nil && err != http.ErrServerClosed {
-		log.Error().Err(err).Str("address", s.listener.Addr().String()).Msg("HTTP listener ended")
+		log.Error().Err(err).Str("address", s.listener.Addr().String()).Msg("HTTP server stopped unexpectedly")
 	}
 }
 
-// Shutdown stops accepting and waits for requests under way until ctx ends.
+// Shutdown stops accepting connections and waits for requests in progress until ctx ends.
 func (s *HTTPServer) Shutdown(ctx context.Context) error { return s.server.Shutdown(ctx) }
 
-// NewMetricsServer returns a server of /metrics, /healthz (the process runs) and /readyz (it takes work).
+// NewMetricsServer returns a server of /metrics, /healthz (the process runs) and /readyz (the daemon accepts work).
 func NewMetricsServer(ready func() bool) *http.Server {
 	routes := http.NewServeMux()
 	routes.Handle("GET /metrics", telemetry.MetricsHandler())
--- a/daemon/main.go
+++ b/daemon/main.go
@@ -15,8 +15,8 @@
 	"github.com/redwingthread/redwingthread/telemetry"
 )
 
-// Main runs a daemon until SIGTERM or SIGINT and returns the exit code of the process. Both signals ask for a graceful
-// stop.
+// Main runs a daemon until SIGTERM or SIGINT and returns the exit code of the process. Both signals start a graceful
+// shutdown.
 func Main(run func(context.Context) error) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -29,9 +29,10 @@
 	return typed.Kind.ExitCode()
 }
 
-// StartGateway runs the gateway daemon with a new incarnation; log lines go to w.
+// StartGateway runs the gateway daemon under a new incarnation until ctx ends. It writes log lines to w. Its errors are
+// those of telemetry.NewLogger and RunGateway.
 func StartGateway(ctx context.Context, s settings.Gateway, w io.Writer) error {
-	self := memberOf(s.Common, membership.RoleGateway, s.Listen.Inner)
+	self := newSelf(s.Common, membership.RoleGateway, s.Listen.Inner)
 	log, err := telemetry.NewLogger(w, s.Log.Level, self)
 	if err != nil {
 		return err
@@ -40,9 +41,10 @@
 	return RunGateway(ctx, s, log, self)
 }
 
-// StartScheduler runs the scheduler daemon with a new incarnation; log lines go to w.
+// StartScheduler runs the scheduler daemon under a new incarnation until ctx ends. It writes log lines to w. Its errors
+// are those of telemetry.NewLogger and RunScheduler.
 func StartScheduler(ctx context.Context, s settings.Scheduler, w io.Writer) error {
-	self := memberOf(s.Common, membership.RoleScheduler, s.Listen.Inner)
+	self := newSelf(s.Common, membership.RoleScheduler, s.Listen.Inner)
 	log, err := telemetry.NewLogger(w, s.Log.Level, self)
 	if err != nil {
 		return err
@@ -51,6 +53,7 @@
 	return RunScheduler(ctx, s, log, self)
 }
 
-func memberOf(common settings.Common, role, address string) inner.Member {
+// newSelf returns the member that describes this process, with a new incarnation.
+func newSelf(common settings.Common, role, address string) inner.Member {
 	return NewIncarnation(inner.Member{FailureDomain: common.FailureDomain, VM: common.VM, Role: role, Address: address})
 }
--- a/daemon/mux.go
+++ b/daemon/mux.go
@@ -7,10 +7,10 @@
 	"github.com/redwingthread/redwingthread/inner"
 )
 
-// Mux is an inner.Handler that passes each kind of request to its function. Functions are set before the mux is served;
-// a kind without a function is refused.
+// Mux is an inner.Handler that dispatches each kind of request to its handler function. All functions must be set before
+// the mux is served. A request of a kind without a function is rejected with a BadInput error.
 type Mux struct {
-	Heartbeat    func(ctx context.Context, from inner.Member, beat *inner.Heartbeat) (*inner.Heartbeat, error)
+	Heartbeat    func(ctx context.Context, from inner.Member, heartbeat *inner.Heartbeat) (*inner.Heartbeat, error)
 	Forward      func(ctx context.Context, req *inner.Forward) (*inner.ForwardResponse, error)
 	FetchRecords func(ctx context.Context, req *inner.FetchRecords) (*inner.FetchRecordsResponse, error)
 	FetchState   func(ctx context.Context, req *inner.FetchState) (*inner.FetchStateResponse, error)
@@ -34,7 +34,7 @@
 		resp.JobQuery, err = m.JobQuery(ctx, req.JobQuery)
 	default:
 		return nil, errkind.New(errkind.BadInput, "send the request to a daemon of the right role and version",
-			"request kind is not served here")
+			"this daemon has no handler for the kind of request")
 	}
 	if err != nil {
 		return nil, err
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -1,5 +1,5 @@
-// Package daemon holds what the gateway and the scheduler daemon have in common: the inner protocol listener, heartbeats
-// and membership, the metrics listener and the order of a graceful stop.
+// Package daemon runs the gateway and the scheduler daemon: the inner protocol listener, heartbeats and membership, the
+// metrics listener and the order of a graceful shutdown.
 package daemon
 
 import (
@@ -18,38 +18,41 @@
 )
 
 const (
-	// tick is the resolution of heartbeats.
-	tick = 100 * time.Millisecond
-	// heartbeatTimeout is below the shortest heartbeat interval, so that beats to a silent peer do not pile up.
+	// pollInterval is the time between checks for due heartbeats and for state changes to announce to the gateways.
+	pollInterval = 100 * time.Millisecond
+	// heartbeatTimeout is below the shortest heartbeat interval, so that heartbeats to a peer that does not
+	// respond do not pile up.
 	heartbeatTimeout = 900 * time.Millisecond
 	// vmListInterval is the time between reads of the platform's list of VMs.
 	vmListInterval = 2 * time.Second
 )
 
-// Options configure a Node.
+// Options configures a Node.
 type Options struct {
-	// Self is the daemon's member; Node chooses its incarnation.
-	Self  inner.Member
+	// Self is the daemon's own member, with its incarnation.
+	Self inner.Member
+	// Seeds are the members named in the settings.
 	Seeds []inner.Member
 	Keys  *inner.KeyStore
 	// VMs is the platform's list of VMs.
 	VMs infra.VMList
 	Log zerolog.Logger
-	// Describe fills the state of the daemon into an outgoing heartbeat.
-	Describe func(*inner.Heartbeat)
-	// Observe takes every received heartbeat and may be nil.
-	Observe func(inner.Heartbeat)
-	// ObserveVMs takes every list of VMs read from the platform and may be nil.
+	// FillHeartbeat sets the daemon's state in an outgoing heartbeat.
+	FillHeartbeat func(*inner.Heartbeat)
+	// OnHeartbeat is called with every received heartbeat; it may be nil.
+	OnHeartbeat func(inner.Heartbeat)
+	// ObserveVMs is called with every list of VMs read from the platform; it may be nil.
 	ObserveVMs func([]infra.VM)
 }
 
-// NewIncarnation returns a member with a new incarnation id. It must be called once for each start of a process.
+// NewIncarnation returns member with a new incarnation id. It must be called exactly once per process start.
 func NewIncarnation(member inner.Member) inner.Member {
 	member.Incarnation = uuid.NewString()
 	return member
 }
 
-// Node is the membership and inner protocol end of one daemon. It is safe for concurrent use.
+// Node keeps a daemon's membership table up to date by heartbeats with peers and the platform's list of VMs. It is safe
+// for concurrent use.
 type Node struct {
 	options Options
 	client  *inner.Client
@@ -59,18 +62,18 @@
 	// table is guarded by mu.
 	table *membership.Table
 
-	// expedite wakes the heartbeat loop before its next tick.
-	expedite chan struct{}
+	// wake wakes the heartbeat loop without waiting for pollInterval.
+	wake chan struct{}
 }
 
-// NewNode returns a node that answers heartbeats through mux once that is served.
+// NewNode returns a node and registers its heartbeat handler with mux.
 func NewNode(options Options, mux *Mux) *Node {
 	n := &Node{
-		options:  options,
-		client:   inner.NewClient(options.Keys),
-		mux:      mux,
-		table:    membership.New(options.Self, membership.DefaultOptions()),
-		expedite: make(chan struct{}, 1),
+		options: options,
+		client:  inner.NewClient(options.Keys),
+		mux:     mux,
+		table:   membership.New(options.Self, membership.DefaultOptions()),
+		wake:    make(chan struct{}, 1),
 	}
 	now := time.Now()
 	for _, seed := range options.Seeds {
@@ -80,7 +83,7 @@
 	return n
 }
 
-// Client returns the caller for requests to peers.
+// Client returns the client for requests to peers.
 func (n *Node) Client() *inner.Client { return n.client }
 
 // Self returns the daemon's own member.
@@ -88,28 +91,28 @@
 
 // Run sends heartbeats and reads the list of VMs until ctx ends.
 func (n *Node) Run(ctx context.Context) {
-	go n.followVMs(ctx)
-	ticker := time.NewTicker(tick)
+	go n.pollVMList(ctx)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		n.sendDue(ctx)
+		n.sendDueHeartbeats(ctx)
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-n.expedite:
+		case <-n.wake:
 		}
 	}
 }
 
-// Live returns the live members of a role, self not included.
+// Live returns the live members of a role, without this process.
 func (n *Node) Live(role string) []membership.Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Live(role, time.Now())
 }
 
-// PeerState is a known member and whether it is live.
+// PeerState is a known member with its liveness.
 type PeerState struct {
 	Peer membership.Peer
 	Live bool
@@ -133,38 +136,38 @@
 	n.table.ExpediteGateways()
 	n.mu.Unlock()
 	select {
-	case n.expedite <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-// beat returns the daemon's present heartbeat.
-func (n *Node) beat() *inner.Heartbeat {
-	beat := &inner.Heartbeat{Member: n.options.Self}
+// heartbeat returns the daemon's current state as a heartbeat.
+func (n *Node) heartbeat() *inner.Heartbeat {
+	heartbeat := &inner.Heartbeat{Member: n.options.Self}
 	n.mu.Lock()
-	beat.Leaving = n.table.SelfLeaving()
+	heartbeat.Leaving = n.table.SelfLeaving()
 	if n.options.Self.Role == membership.RoleGateway {
-		beat.Relayed = n.table.Relay(time.Now())
+		heartbeat.Relayed = n.table.Relay(time.Now())
 	}
 	n.mu.Unlock()
-	n.options.Describe(beat)
-	return beat
+	n.options.FillHeartbeat(heartbeat)
+	return heartbeat
 }
 
-func (n *Node) sendDue(ctx context.Context) {
+func (n *Node) sendDueHeartbeats(ctx context.Context) {
 	n.mu.Lock()
 	due := n.table.Due(time.Now())
 	n.mu.Unlock()
 	if len(due) == 0 {
 		return
 	}
-	request := &inner.Request{Heartbeat: n.beat()}
+	request := &inner.Request{Heartbeat: n.heartbeat()}
 	for _, member := range due {
-		go n.send(ctx, member, request)
+		go n.sendHeartbeat(ctx, member, request)
 	}
 }
 
-func (n *Node) send(ctx context.Context, member inner.Member, request *inner.Request) {
+func (n *Node) sendHeartbeat(ctx context.Context, member inner.Member, request *inner.Request) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	resp, err := n.client.Call(ctx, member.Address, request)
@@ -172,40 +175,41 @@
 		metrics.GetOrRegisterCounter("membership.heartbeats_failed", nil).Inc(1)
 		return
 	}
-	n.observe(*resp.Heartbeat)
+	n.observeHeartbeat(*resp.Heartbeat)
 }
 
-func (n *Node) handleHeartbeat(_ context.Context, _ inner.Member, beat *inner.Heartbeat) (*inner.Heartbeat, error) {
-	if beat.Member.Address == "" {
-		return nil, errkind.New(errkind.BadInput, "set the member's address", "heartbeat names no address")
+func (n *Node) handleHeartbeat(_ context.Context, _ inner.Member, heartbeat *inner.Heartbeat) (*inner.Heartbeat, error) {
+	if heartbeat.Member.Address == "" {
+		return nil, errkind.New(errkind.BadInput, "set the member's address", "heartbeat has no member address")
 	}
-	n.observe(*beat)
-	return n.beat(), nil
+	n.observeHeartbeat(*heartbeat)
+	return n.heartbeat(), nil
 }
 
-func (n *Node) observe(beat inner.Heartbeat) {
+func (n *Node) observeHeartbeat(heartbeat inner.Heartbeat) {
 	now := time.Now()
 	n.mu.Lock()
-	change := n.table.ObserveHeartbeat(beat, now)
-	for _, relayed := range beat.Relayed {
+	change := n.table.ObserveHeartbeat(heartbeat, now)
+	for _, relayed := range heartbeat.Relayed {
 		n.table.ObserveRelayed(relayed.Heartbeat, milliseconds(relayed.AgeMS), now)
 	}
 	n.mu.Unlock()
 	if change.Activity && n.options.Self.Role == membership.RoleGateway {
-		// Gateways of other failure domains send their jobs' callers to the active scheduler.
+		// Gateways of other failure domains route job queries to the active scheduler.
 		n.ExpediteGateways()
 	}
 	if change.Joined {
-		n.options.Log.Info().Str("peer", beat.Member.VM).Str("peer_role", beat.Member.Role).
-			Str("peer_incarnation", beat.Member.Incarnation).Msg("peer joined or restarted")
+		n.options.Log.Info().Str("peer", heartbeat.Member.VM).Str("peer_role", heartbeat.Member.Role).
+			Str("peer_incarnation", heartbeat.Member.Incarnation).Msg("peer joined or restarted")
 	}
-	if n.options.Observe != nil {
-		n.options.Observe(beat)
+	if n.options.OnHeartbeat != nil {
+		n.options.OnHeartbeat(heartbeat)
 	}
 }
 
-// followVMs reads the platform's list of VMs until ctx ends. A failed read keeps the last list.
-func (n *Node) followVMs(ctx context.Context) {
+// pollVMList reads the platform's list of VMs every vmListInterval until ctx ends. After a failed read the last list stays
+// in use.
+func (n *Node) pollVMList(ctx context.Context) {
 	ticker := time.NewTicker(vmListInterval)
 	defer ticker.Stop()
 	for {
--- a/daemon/node_test.go
+++ b/daemon/node_test.go
@@ -11,8 +11,9 @@
 	"github.com/redwingthread/redwingthread/inner"
 )
 
-// TestMuxRefusesKindsWithoutFunction guards against a daemon that panics on a request of another role.
-func TestMuxRefusesKindsWithoutFunction(t *testing.T) {
+// TestMuxRejectsKindsWithoutHandler guards against a daemon that panics on a kind of request that
+// only the other role handles.
+func TestMuxRejectsKindsWithoutHandler(t *testing.T) {
 	cases := map[string]*inner.Request{
 		"empty":     {},
 		"forward":   {Forward: &inner.Forward{}},
@@ -30,14 +31,15 @@
 	}
 }
 
-// TestHeartbeatIsAnsweredWithOwnState guards against a one-way partition view: either direction must inform both ends.
-func TestHeartbeatIsAnsweredWithOwnState(t *testing.T) {
+// TestHeartbeatResponseCarriesOwnState guards against a receiver that sees the sender live while the sender does
+// not see the receiver: one exchange must inform both ends.
+func TestHeartbeatResponseCarriesOwnState(t *testing.T) {
 	self := NewIncarnation(inner.Member{VM: "vm-1", Role: "gateway", FailureDomain: "fd-a", Address: "127.0.0.1:1"})
 	mux := &Mux{}
 	node := NewNode(Options{
-		Self:     self,
-		Log:      zerolog.Nop(),
-		Describe: func(beat *inner.Heartbeat) { beat.ConfigVersion = 7 },
+		Self:          self,
+		Log:           zerolog.Nop(),
+		FillHeartbeat: func(heartbeat *inner.Heartbeat) { heartbeat.ConfigVersion = 7 },
 	}, mux)
 	peer := NewIncarnation(inner.Member{VM: "vm-2", Role: "gateway", FailureDomain: "fd-a", Address: "127.0.0.1:2"})
 	resp, err := mux.Handle(t.Context(), peer, &inner.Request{Heartbeat: &inner.Heartbeat{Member: peer, Ready: true}})
@@ -49,6 +51,6 @@
 		t.Fatalf("live gateways are %+v", live)
 	}
 	if _, err := mux.Handle(t.Context(), peer, &inner.Request{Heartbeat: &inner.Heartbeat{}}); err == nil {
-		t.Fatal("heartbeat without an address was taken")
+		t.Fatal("heartbeat without an address was accepted")
 	}
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -10,8 +10,8 @@
 	"github.com/redwingthread/redwingthread/operatorapi"
 )
 
-// configPeers returns the members to ask for the configuration: the live ones, or all known ones while no gateway is
-// live, such as at the start of the process. Only gateways have news from other failure domains.
+// configPeers returns the members to read the configuration from: the live ones, or all known ones while no gateway is
+// live, such as at process start. Only gateways receive configuration records from other failure domains.
 func (n *Node) configPeers() []configlog.Peer {
 	var live, known []configlog.Peer
 	gateways := 0
@@ -32,7 +32,7 @@
 	return known
 }
 
-// liveGateways returns the live gateways, self not included.
+// liveGateways returns the live gateways, without this process.
 func (n *Node) liveGateways() []inner.Member {
 	var members []inner.Member
 	for _, peer := range n.Live(membership.RoleGateway) {
@@ -41,7 +41,7 @@
 	return members
 }
 
-// schedulerAddresses returns the addresses of a failure domain's schedulers, the active one first.
+// schedulerAddresses returns the addresses of the live schedulers of a failure domain, the active one first.
 func (n *Node) schedulerAddresses(failureDomain string) []string {
 	var schedulers []membership.Peer
 	for _, peer := range n.Live(membership.RoleScheduler) {
@@ -59,14 +59,14 @@
 	return addresses
 }
 
-// peerView shows the other processes to the operator API. It implements operatorapi.Peers.
+// peerView gives the operator API the state of the other processes. It implements operatorapi.Peers.
 type peerView struct {
 	node     *Node
 	follower *configlog.Follower
 }
 
-// ConfigStatus implements operatorapi.Peers. The version of a VM is the lower one of its daemons: a change is in force
-// on the VM only when both have it.
+// ConfigStatus implements operatorapi.Peers. The version of a VM is the lowest among its daemons: a change is in force
+// on the VM only when every one has it.
 func (v peerView) ConfigStatus(context.Context) []operatorapi.VMStatus {
 	byVM := make(map[string]operatorapi.VMStatus)
 	own := v.follower.Status()
@@ -84,11 +84,11 @@
 	return statuses
 }
 
-// mergeVMStatus lowers the status of a VM to that of one of its daemons.
+// mergeVMStatus replaces the status of a VM by that of one of its daemons if the daemon has a lower version or none.
 func mergeVMStatus(byVM map[string]operatorapi.VMStatus, state PeerState) {
-	member, beat := state.Peer.Member, state.Peer.Heartbeat
+	member, heartbeat := state.Peer.Member, state.Peer.Heartbeat
 	status := operatorapi.VMStatus{VM: member.VM, FailureDomain: member.FailureDomain,
-		Known: state.Live && beat.HasConfig, Version: beat.ConfigVersion, Digest: beat.ConfigDigest}
+		Known: state.Live && heartbeat.HasConfig, Version: heartbeat.ConfigVersion, Digest: heartbeat.ConfigDigest}
 	known, ok := byVM[member.VM]
 	if ok && (!known.Known || status.Known && known.Version <= status.Version) {
 		return
@@ -112,7 +112,8 @@
 	return health
 }
 
-// ActiveSchedulers implements operatorapi.Peers. Of two that believe to be active the higher epoch is in force.
+// ActiveSchedulers implements operatorapi.Peers. If several schedulers of a failure domain report that they are active,
+// the one with the highest epoch holds the lease.
 func (v peerView) ActiveSchedulers(context.Context) map[string]string {
 	active := make(map[string]string)
 	epochs := make(map[string]uint64)
--- a/daemon/scheduler.go
+++ b/daemon/scheduler.go
@@ -17,51 +17,52 @@
 )
 
 const (
-	// schedulerStopTimeout bounds the graceful stop of a scheduler: it gives its leases up and ends.
+	// schedulerStopTimeout bounds the closing of the listeners after the control loop has ended.
 	schedulerStopTimeout = 5 * time.Second
-	// drainPollInterval is the time between looks at whether the scheduler has to rest.
+	// drainPollInterval is the time between checks whether the scheduler has to suspend for a drain.
 	drainPollInterval = time.Second
 )
 
-// RunScheduler runs the scheduler daemon until ctx ends, then gives its leases up, so that the other VM need not wait
-// for them to lapse. Running tasks go on under their task leases.
+// RunScheduler runs the scheduler daemon until ctx ends, then releases its leases, so that the standby on the other VM
+// need not wait for them to expire. Running tasks continue under their task leases. It returns an error if the daemon
+// cannot start or the control loop fails.
 func RunScheduler(ctx context.Context, s settings.Scheduler, log zerolog.Logger, self inner.Member) error {
 	d := &schedulerDaemon{settings: s, log: log, workers: infra.NewHTTPWorkers(nil)}
 	if err := d.open(self); err != nil {
 		return err
 	}
-	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	d.base.start(running, milliseconds(s.TLS.ReloadMS))
-	go d.forwardChanges(running)
-	go d.announceActivity(running)
+	d.base.start(runCtx, milliseconds(s.TLS.ReloadMS))
+	go d.forwardConfigChanges(runCtx)
+	go d.announceActiveEpoch(runCtx)
 	log.Info().Str("inner", s.Listen.Inner).Msg("scheduler started")
-	err := d.runTenures(ctx)
-	closing, cancelClosing := context.WithTimeout(context.Background(), schedulerStopTimeout)
-	defer cancelClosing()
-	d.base.close(closing)
+	err := d.runControlLoops(ctx)
+	closeCtx, cancelClose := context.WithTimeout(context.Background(), schedulerStopTimeout)
+	defer cancelClose()
+	d.base.close(closeCtx)
 	log.Info().Msg("scheduler stopped")
 	return err
 }
 
-// schedulerDaemon holds the parts of a running scheduler daemon.
+// schedulerDaemon holds the components of a running scheduler daemon.
 type schedulerDaemon struct {
 	settings settings.Scheduler
 	log      zerolog.Logger
 	base     *base
 	workers  *infra.HTTPWorkers
-	// control is nil while the daemon rests.
+	// control is nil while the scheduler is suspended.
 	control atomic.Pointer[control.Control]
-	// changed wakes the control loop after each new configuration.
-	changed chan struct{}
+	// configChanged wakes the control loop after each configuration change.
+	configChanged chan struct{}
 }
 
 func (d *schedulerDaemon) open(self inner.Member) error {
-	d.changed = make(chan struct{}, 1)
+	d.configChanged = make(chan struct{}, 1)
 	var err error
 	d.base, err = newBase(d.settings.Common, self, d.settings.Listen.Metrics, d.log, hooks{
-		describe: d.describe,
-		ready:    d.ready,
+		fillHeartbeat: d.fillHeartbeat,
+		ready:         d.ready,
 	})
 	if err != nil {
 		return err
@@ -70,37 +71,37 @@
 	return nil
 }
 
-// runTenures runs the control loop except while the scheduler has to rest, until ctx ends.
-func (d *schedulerDaemon) runTenures(ctx context.Context) error {
+// runControlLoops runs the control loop until ctx ends, except while the scheduler has to be suspended.
+func (d *schedulerDaemon) runControlLoops(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if d.mustRest() {
-			d.pause(ctx)
+		if d.mustSuspend() {
+			d.waitDrainPoll(ctx)
 			continue
 		}
-		if err := d.runUntilRest(ctx); err != nil {
+		if err := d.runUntilSuspended(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// runUntilRest runs one control loop until ctx ends or the scheduler has to rest.
-func (d *schedulerDaemon) runUntilRest(ctx context.Context) error {
+// runUntilSuspended runs one control loop until ctx ends or the scheduler has to be suspended.
+func (d *schedulerDaemon) runUntilSuspended(ctx context.Context) error {
 	loop, err := d.newControl()
 	if err != nil {
 		return err
 	}
-	working, stop := context.WithCancel(ctx)
+	loopCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	go func() {
-		for working.Err() == nil && !d.mustRest() {
-			d.pause(working)
+		for loopCtx.Err() == nil && !d.mustSuspend() {
+			d.waitDrainPoll(loopCtx)
 		}
 		stop()
 	}()
 	d.control.Store(loop)
 	defer d.control.Store(nil)
-	return loop.Run(working)
+	return loop.Run(loopCtx)
 }
 
 func (d *schedulerDaemon) newControl() (*control.Control, error) {
@@ -109,19 +110,19 @@
 		FailureDomain: self.FailureDomain,
 		VM:            self.VM,
 		Holder:        self.VM + "/" + self.Incarnation,
-		Log:           d.base.logs,
+		Log:           d.base.logClient,
 		Workers:       d.workers,
 		Config:        d.base.follower.Document,
-		ConfigChanged: d.changed,
+		ConfigChanged: d.configChanged,
 		NewPlanner:    func(failureDomain string) scheduler.Planner { return scheduler.New(failureDomain) },
 		Logger:        d.log,
 	})
 }
 
-// mustRest reports whether the configuration drains this VM and another scheduler of the failure domain can be active.
-// The last one goes on: without any, the task leases of all gangs would lapse.
-func (d *schedulerDaemon) mustRest() bool {
-	if !d.base.drained() {
+// mustSuspend reports whether the configuration drains this VM and another scheduler of the failure domain can be active.
+// The last scheduler keeps running: without any, the task leases of all gangs would expire.
+func (d *schedulerDaemon) mustSuspend() bool {
+	if !d.base.drainRequested() {
 		return false
 	}
 	for _, peer := range d.base.node.Live(membership.RoleScheduler) {
@@ -132,15 +133,16 @@
 	return false
 }
 
-func (d *schedulerDaemon) pause(ctx context.Context) {
+// waitDrainPoll waits for drainPollInterval or until ctx ends.
+func (d *schedulerDaemon) waitDrainPoll(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(drainPollInterval):
 	}
 }
 
-// forwardChanges wakes the control loop for each new configuration until ctx ends.
-func (d *schedulerDaemon) forwardChanges(ctx context.Context) {
+// forwardConfigChanges wakes the control loop after each configuration change until ctx ends.
+func (d *schedulerDaemon) forwardConfigChanges(ctx context.Context) {
 	documents, stop := d.base.follower.Subscribe()
 	defer stop()
 	for {
@@ -149,16 +151,17 @@
 			return
 		case <-documents:
 			select {
-			case d.changed <- struct{}{}:
+			case d.configChanged <- struct{}{}:
 			default:
 			}
 		}
 	}
 }
 
-// announceActivity sends a heartbeat at once when the scheduler becomes active or stops being so, until ctx ends.
-func (d *schedulerDaemon) announceActivity(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+// announceActiveEpoch sends heartbeats to the gateways as soon as the scheduler becomes active, stops being active
+// or changes its epoch, until ctx ends.
+func (d *schedulerDaemon) announceActiveEpoch(ctx context.Context) {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	var announced uint64
 	for {
@@ -174,7 +177,7 @@
 	}
 }
 
-// activeEpoch returns the epoch of the present tenure, 0 while the scheduler is not active.
+// activeEpoch returns the epoch under which the scheduler is active, 0 while it is not.
 func (d *schedulerDaemon) activeEpoch() uint64 {
 	loop := d.control.Load()
 	if loop == nil {
@@ -188,18 +191,18 @@
 	return d.control.Load() != nil && d.base.follower.Document() != nil
 }
 
-func (d *schedulerDaemon) describe(beat *inner.Heartbeat) {
-	beat.Ready = d.ready()
-	beat.Leaving = beat.Leaving || d.base.drained()
-	beat.Epoch = d.activeEpoch()
-	beat.Active = beat.Epoch > 0
+func (d *schedulerDaemon) fillHeartbeat(heartbeat *inner.Heartbeat) {
+	heartbeat.Ready = d.ready()
+	heartbeat.Leaving = heartbeat.Leaving || d.base.drainRequested()
+	heartbeat.Epoch = d.activeEpoch()
+	heartbeat.Active = heartbeat.Epoch > 0
 }
 
 func (d *schedulerDaemon) jobQuery(ctx context.Context, req *inner.JobQuery) (*inner.JobQueryResponse, error) {
 	loop := d.control.Load()
 	if loop == nil {
 		return nil, errkind.New(errkind.Unavailable, "ask the other scheduler of the failure domain",
-			"scheduler of VM %s rests: the configuration drains the VM", d.base.self.VM)
+			"scheduler of VM %s is suspended: the configuration drains the VM", d.base.self.VM)
 	}
 	resp, err := loop.Handle(ctx, inner.Member{}, &inner.Request{JobQuery: req})
 	if err != nil {
