--- a/settings/decode.go
+++ b/settings/decode.go
@@ -10,8 +10,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// decode sets target from text and returns all faults in order of their lines. The library stops at the first value of
-// a wrong type, so it only parses here; the decoder below goes on after a fault.
+// decode sets target from text and returns all faults in order of their lines. The TOML library would stop decoding at the
+// first value of a wrong type, so it only parses the text; the decoder below continues after a fault.
 func decode(text string, target any, check func() []Fault) []Fault {
 	var parsed map[string]any
 	if _, err := toml.Decode(text, &parsed); err != nil {
@@ -20,17 +20,17 @@
 	d := &decoder{}
 	d.table("", parsed, reflect.ValueOf(target).Elem())
 	if check != nil {
-		d.addNew(check())
+		d.addForNewKeys(check())
 	}
-	lines := locate(text)
+	lines := indexLines(text)
 	for i := range d.faults {
-		d.faults[i].Line = lines.of(d.faults[i].Key)
+		d.faults[i].Line = lines.lineOf(d.faults[i].Key)
 	}
 	sort.SliceStable(d.faults, func(i, j int) bool { return d.faults[i].Line < d.faults[j].Line })
 	return d.faults
 }
 
-// syntaxFault reports a file that is not TOML. Nothing after the fault can be checked.
+// syntaxFault returns the fault of a file that is not valid TOML. Nothing after the fault can be checked.
 func syntaxFault(err error) Fault {
 	fault := Fault{Message: err.Error(), Remedy: "write valid TOML"}
 	var parseErr toml.ParseError
@@ -44,7 +44,7 @@
 	return fault
 }
 
-// decoder collects the faults of a file.
+// decoder sets values by reflection and collects the faults of a file.
 type decoder struct {
 	faults []Fault
 }
@@ -53,9 +53,9 @@
 	d.faults = append(d.faults, Fault{Key: key, Message: fmt.Sprintf(format, args...), Remedy: remedy})
 }
 
-// addNew adds the faults of keys that have none yet: a value of a wrong type leaves its default or zero behind, which
-// would be reported a second time.
-func (d *decoder) addNew(faults []Fault) {
+// addForNewKeys adds the faults of keys that have none yet. A value of a wrong type leaves its default or
+// zero in the field, which would otherwise be reported a second time.
+func (d *decoder) addForNewKeys(faults []Fault) {
 	known := make(map[string]bool, len(d.faults))
 	for _, f := range d.faults {
 		known[f.Key] = true
@@ -76,7 +76,7 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		key := join(prefix, name)
+		key := joinKey(prefix, name)
 		field, ok := fields[name]
 		if !ok {
 			d.add(key, "remove it or use one of: "+strings.Join(sortedNames(fields), ", "), "unknown key")
@@ -103,10 +103,10 @@
 			return
 		}
 	}
-	d.add(key, "write "+wanted(v), "has a value of type %s", found(value))
+	d.add(key, "write "+expectedType(v), "has a value of type %s", tomlTypeName(value))
 }
 
-// list sets the slice v from a TOML array or array of tables. It reports whether value is one.
+// list sets the slice v from a TOML array or array of tables. It returns false if value is neither.
 func (d *decoder) list(key string, value any, v reflect.Value) bool {
 	elements := reflect.ValueOf(value)
 	if elements.Kind() != reflect.Slice {
@@ -120,7 +120,7 @@
 	return true
 }
 
-// setScalar sets v if value has its type. An integer is accepted for a fraction.
+// setScalar sets v and returns true if value has its type. A floating-point field accepts an integer, too.
 func setScalar(value any, v reflect.Value) bool {
 	switch value := value.(type) {
 	case string:
@@ -151,7 +151,7 @@
 	return false
 }
 
-// fieldsOf returns the settable fields of a struct by their TOML names; embedded structs count as part of it.
+// fieldsOf returns the settable fields of a struct by their TOML names, with those of embedded structs.
 func fieldsOf(v reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value)
 	for i := range v.NumField() {
@@ -178,8 +178,8 @@
 	return names
 }
 
-// wanted describes the TOML type of v for a remedy.
-func wanted(v reflect.Value) string {
+// expectedType describes the TOML type that v expects, for a remedy.
+func expectedType(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Struct:
 		return "a table"
@@ -192,11 +192,11 @@
 	case reflect.Float64:
 		return "a number"
 	}
-	return "a whole number without quotes"
+	return "an integer without quotes"
 }
 
-// found describes the TOML type of a parsed value.
-func found(value any) string {
+// tomlTypeName returns the name of the TOML type of a parsed value.
+func tomlTypeName(value any) string {
 	switch value.(type) {
 	case map[string]any:
 		return "table"
@@ -215,7 +215,7 @@
 	return fmt.Sprintf("%T", value)
 }
 
-func join(prefix, name string) string {
+func joinKey(prefix, name string) string {
 	if prefix == "" {
 		return name
 	}
--- a/settings/locate.go
+++ b/settings/lines.go
@@ -5,12 +5,13 @@
 	"strings"
 )
 
-// lineIndex holds the line of each key and table of a TOML text. The library keeps positions to itself, so the lines
-// are found by their form; a key inside an inline table has the line of the key that holds the table.
+// lineIndex maps each key and table of a TOML text to its line. The TOML library does not expose positions, so the lines
+// are found by a scan of the text. Keys inside an inline table are not indexed; lineOf returns the line of the key that
+// holds the table.
 type lineIndex map[string]int
 
-// locate indexes text, which must be valid TOML.
-func locate(text string) lineIndex {
+// indexLines returns the line index of text, which must be valid TOML.
+func indexLines(text string) lineIndex {
 	index := lineIndex{}
 	counts := map[string]int{}
 	table := ""
@@ -19,34 +20,34 @@
 		switch {
 		case strings.HasPrefix(line, "[["):
 			name, _, _ := strings.Cut(line[2:], "]]")
-			name = plain(name)
+			name = unquoteKey(name)
 			table = fmt.Sprintf("%s[%d]", name, counts[name])
 			counts[name]++
 			index.add(name, i+1)
 			index.add(table, i+1)
 		case strings.HasPrefix(line, "["):
 			name, _, _ := strings.Cut(line[1:], "]")
-			table = plain(name)
+			table = unquoteKey(name)
 			index.add(table, i+1)
 		case strings.HasPrefix(line, "#"):
 		default:
 			if name, _, ok := strings.Cut(line, "="); ok {
-				index.add(join(table, plain(name)), i+1)
+				index.add(joinKey(table, unquoteKey(name)), i+1)
 			}
 		}
 	}
 	return index
 }
 
-// add keeps the first line of a key.
+// add sets the line of a key unless it has one already.
 func (x lineIndex) add(key string, line int) {
 	if _, ok := x[key]; !ok {
 		x[key] = line
 	}
 }
 
-// of returns the line of key, or of the nearest table that holds it; 0 if there is none.
-func (x lineIndex) of(key string) int {
+// lineOf returns the line of key, or of the nearest enclosing table or array that has one; 0 if there is none.
+func (x lineIndex) lineOf(key string) int {
 	for key != "" {
 		if line, ok := x[key]; ok {
 			return line
@@ -56,8 +57,8 @@
 	return 0
 }
 
-// plain removes spaces and quotes from the parts of a dotted key.
-func plain(name string) string {
+// unquoteKey removes surrounding spaces and quotes from the parts of a dotted key.
+func unquoteKey(name string) string {
 	parts := strings.Split(name, ".")
 	for i, part := range parts {
 		parts[i] = strings.Trim(strings.TrimSpace(part), `"'`)
--- a/settings/load.go
+++ b/settings/load.go
@@ -9,9 +9,9 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// Fault is one fault of a settings file.
+// Fault is one problem in a settings file.
 type Fault struct {
-	// Line is the line of the faulty key, or of the table that lacks one; 0 for the file as a whole.
+	// Line is the line of the faulty key, or of the table that lacks a key; 0 if no line can be named.
 	Line int `json:"line"`
 	// Key is the full key, such as listen.inner or peers[1].role.
 	Key     string `json:"key"`
@@ -46,8 +46,8 @@
 	return strings.Join(lines, "")
 }
 
-// LoadGateway reads the settings of a gateway. An unreadable or faulty file gives an error of kind errkind.BadInput
-// that wraps a *FaultList if the file could be read.
+// LoadGateway reads the settings of a gateway from a TOML file. For an unreadable or faulty file it returns an error of
+// kind errkind.BadInput, which wraps a *FaultList if the file could be read.
 func LoadGateway(path string) (Gateway, error) {
 	s := DefaultGateway()
 	if err := Load(path, &s, s.faults); err != nil {
@@ -57,7 +57,7 @@
 	return s, nil
 }
 
-// LoadScheduler reads the settings of a scheduler. Its errors are those of LoadGateway.
+// LoadScheduler reads the settings of a scheduler from a TOML file. Its errors are those of LoadGateway.
 func LoadScheduler(path string) (Scheduler, error) {
 	s := DefaultScheduler()
 	if err := Load(path, &s, s.faults); err != nil {
@@ -67,8 +67,9 @@
 	return s, nil
 }
 
-// Load reads the TOML file at path over the defaults in the struct that target points to. The function check returns
-// the faults of the decoded values, with Line unset; it may be nil.
+// Load decodes the TOML file at path into the struct that target points to; keys that the file does not set keep their
+// value. The function check returns the faults of the decoded values, with Line unset; it may be nil. The errors are those
+// of LoadGateway.
 func Load(path string, target any, check func() []Fault) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -82,7 +83,7 @@
 		"correct the lines and run redwingctl check-settings", "settings file %s has %d faults", path, len(faults))
 }
 
-// resolve makes file names relative to the directory of the settings file.
+// resolve joins relative file names with dir, the directory of the settings file.
 func (c *Common) resolve(dir string) {
 	for _, name := range []*string{&c.TLS.Certificate, &c.TLS.Key, &c.TLS.CA, &c.Trace.Path} {
 		if *name != "" && !filepath.IsAbs(*name) {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,16 +1,17 @@
 // Package settings reads the TOML settings files of the daemons.
 //
-// A settings file holds what a process must know before it can reach anybody: its place, its listeners, the platform's
-// addresses, its keys and its limits. Everything that processes must agree on is in the configuration document instead.
+// A settings file holds what a process must know before it can reach its peers: its location, its listeners, the
+// platform's addresses, its keys and its limits. Everything that processes must agree on is in the configuration document
+// instead.
 //
 // Units are part of the names: _ms are milliseconds, _bytes are bytes, queue_length and max_connections are counts.
-// Addresses are IP numbers with a port. File names are relative to the directory of the settings file. Unknown keys
-// are refused, and all faults of a file are reported at once in a *FaultList of kind errkind.BadInput.
+// Addresses are IP addresses with a port. File names are relative to the directory of the settings file. Unknown keys
+// are rejected, and all faults of a file are reported at once in a *FaultList of kind errkind.BadInput.
 package settings
 
 // Common holds the settings that both daemons have.
 type Common struct {
-	// FailureDomain, VM and Region place the process.
+	// FailureDomain, VM and Region name the location of the process.
 	FailureDomain string `toml:"failure_domain"`
 	VM            string `toml:"vm"`
 	Region        string `toml:"region"`
@@ -63,9 +64,10 @@
 	// LogURL and VMListURL are base URLs such as http://10.0.0.5:8100.
 	LogURL    string `toml:"log_url"`
 	VMListURL string `toml:"vm_list_url"`
-	// TimeoutMS bounds one append to the log and one question to a peer.
+	// TimeoutMS bounds one append to the log and one configuration request to a peer, in milliseconds.
 	TimeoutMS int64 `toml:"timeout_ms"`
-	// RetentionMS is the least time for which the log keeps a record. State is appended again well before that.
+	// RetentionMS is the minimum time in milliseconds for which the log keeps a record. Snapshots of the state are appended
+	// well before a record can expire.
 	RetentionMS int64 `toml:"retention_ms"`
 }
 
@@ -89,11 +91,11 @@
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
 	CA          string `toml:"ca"`
-	// ReloadMS is the interval at which changed files are read again.
+	// ReloadMS is the interval in milliseconds at which the files are read again.
 	ReloadMS int64 `toml:"reload_ms"`
 }
 
-// Log holds the settings of the JSON log lines on standard error.
+// Log holds the settings of the JSON log on standard error.
 type Log struct {
 	// Level is "debug", "info", "warn" or "error".
 	Level string `toml:"level"`
@@ -110,13 +112,13 @@
 type Trace struct {
 	// Exporter is TraceOff, TraceStdout or TraceFile.
 	Exporter string `toml:"exporter"`
-	// Path is the file that spans are appended to; used by TraceFile.
+	// Path is the file to which TraceFile appends spans.
 	Path string `toml:"path"`
 	// SampleRatio is the share of traces that are recorded, 0 to 1.
 	SampleRatio float64 `toml:"sample_ratio"`
 }
 
-// Limits bounds what callers and operators may use of a gateway.
+// Limits bounds the resources of a gateway that callers and operators can use.
 type Limits struct {
 	MaxBodyBytes        int64 `toml:"max_body_bytes"`
 	MaxHeaderBytes      int64 `toml:"max_header_bytes"`
@@ -124,28 +126,29 @@
 	IdleTimeoutMS       int64 `toml:"idle_timeout_ms"`
 	// MaxConnections bounds the open connections of each listener.
 	MaxConnections int64 `toml:"max_connections"`
-	// QueueLength bounds the requests of all accounts that wait for an endpoint.
+	// QueueLength bounds the number of requests, of all accounts together, that wait for an endpoint.
 	QueueLength int64 `toml:"queue_length"`
-	// StoredResponseBytes bounds the memory for responses kept for repeated request keys.
+	// StoredResponseBytes bounds the memory for responses that are stored for repeated request keys.
 	StoredResponseBytes int64 `toml:"stored_response_bytes"`
 }
 
-// Shutdown holds the bounds of a planned stop.
+// Shutdown holds the time limits of a graceful shutdown.
 type Shutdown struct {
-	// DrainMS is the time between turning unready and refusing new requests: the balancer's reaction time.
+	// DrainMS is the time in milliseconds between reporting unready and refusing new requests. It must cover the balancer's
+	// reaction time.
 	DrainMS int64 `toml:"drain_ms"`
-	// FinishMS bounds the time that accepted requests are waited for after that.
+	// FinishMS bounds the wait for accepted requests after that, in milliseconds.
 	FinishMS int64 `toml:"finish_ms"`
 }
 
-// Bootstrap holds the credentials that are valid while there is no configuration.
+// Bootstrap holds the credentials that are valid only while there is no configuration.
 type Bootstrap struct {
 	// OperatorTokenDigest is the lower-case hex SHA-256 digest of the token that may call /v1/config/init. Empty
 	// disables the first initialisation through this gateway.
 	OperatorTokenDigest string `toml:"operator_token_digest"`
 }
 
-// OtherPeers returns the seed list without the entry of the process with the role on this VM.
+// OtherPeers returns the seed list without the entry of this process, which has the given role.
 func (c Common) OtherPeers(role string) []Peer {
 	var others []Peer
 	for _, p := range c.Peers {
@@ -167,7 +170,7 @@
 	}
 }
 
-// DefaultGateway returns the settings of a gateway whose file sets nothing.
+// DefaultGateway returns the default settings of a gateway.
 func DefaultGateway() Gateway {
 	return Gateway{
 		Common: defaultCommon(),
@@ -184,7 +187,7 @@
 	}
 }
 
-// DefaultScheduler returns the settings of a scheduler whose file sets nothing.
+// DefaultScheduler returns the default settings of a scheduler.
 func DefaultScheduler() Scheduler {
 	return Scheduler{Common: defaultCommon()}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -10,15 +10,15 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// TestSamplesLoad guards against sample files that the program refuses or that show a wrong default.
-func TestSamplesLoad(t *testing.T) {
+// TestExampleFilesLoad guards against example files that do not load or that show a wrong default.
+func TestExampleFilesLoad(t *testing.T) {
 	g, err := LoadGateway("../examples/gateway.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := DefaultGateway()
 	if g.Limits != d.Limits || g.Shutdown != d.Shutdown || g.Trace != d.Trace || g.Log != d.Log {
-		t.Errorf("gateway sample differs from the defaults that it documents: %+v", g)
+		t.Errorf("gateway example differs from the defaults that it documents: %+v", g)
 	}
 	if g.TLS.Key != "../examples/keys/vm-a1.key" || g.TLS.ReloadMS != d.TLS.ReloadMS {
 		t.Errorf("got tls %+v", g.TLS)
@@ -29,15 +29,15 @@
 	}
 	if want := DefaultScheduler(); s.Trace != want.Trace || s.Log != want.Log || s.Platform.TimeoutMS != want.Platform.TimeoutMS ||
 		s.Platform.RetentionMS != want.Platform.RetentionMS {
-		t.Errorf("scheduler sample differs from the defaults that it documents: %+v", s)
+		t.Errorf("scheduler example differs from the defaults that it documents: %+v", s)
 	}
 	if len(s.Peers) != 2 || len(s.OtherPeers(RoleScheduler)) != 2 || s.Peers[1].Inner != "10.0.1.11:7000" {
 		t.Errorf("got peers %+v", s.Peers)
 	}
 }
 
-// TestOtherPeersLeavesOutItself guards against a process that takes itself for a peer.
-func TestOtherPeersLeavesOutItself(t *testing.T) {
+// TestOtherPeersOmitsOwnProcess guards against a process that treats itself as a peer.
+func TestOtherPeersOmitsOwnProcess(t *testing.T) {
 	c := Common{VM: "vm-1", Peers: []Peer{{VM: "vm-1", Role: RoleGateway}, {VM: "vm-1", Role: RoleScheduler}}}
 	others := c.OtherPeers(RoleGateway)
 	if len(others) != 1 || others[0].Role != RoleScheduler {
@@ -45,17 +45,17 @@
 	}
 }
 
-// edit returns the scheduler sample with replacements, which are pairs of old and new text.
-func edit(t *testing.T, sample string, replacements ...string) string {
+// writeEdited writes a copy of an example file with replacements, which are pairs of old and new text, and returns its path.
+func writeEdited(t *testing.T, example string, replacements ...string) string {
 	t.Helper()
-	text, err := os.ReadFile("../examples/" + sample)
+	text, err := os.ReadFile("../examples/" + example)
 	if err != nil {
 		t.Fatal(err)
 	}
 	edited := string(text)
 	for i := 0; i < len(replacements); i += 2 {
 		if !strings.Contains(edited, replacements[i]) {
-			t.Fatalf("sample has no %q", replacements[i])
+			t.Fatalf("example has no %q", replacements[i])
 		}
 		edited = strings.Replace(edited, replacements[i], replacements[i+1], 1)
 	}
@@ -66,8 +66,8 @@
 	return path
 }
 
-// TestFaults guards against a fault that is accepted, or reported without the key and line that the operator needs.
-func TestFaults(t *testing.T) {
+// TestFaultsNameKeyAndLine guards against a fault that is accepted, or reported without the key and line that the operator needs.
+func TestFaultsNameKeyAndLine(t *testing.T) {
 	cases := map[string]struct {
 		replacements []string
 		keys         []string
@@ -91,7 +91,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			path := edit(t, "scheduler.toml", c.replacements...)
+			path := writeEdited(t, "scheduler.toml", c.replacements...)
 			_, err := LoadScheduler(path)
 			var list *FaultList
 			if !errkind.Is(err, errkind.BadInput) || !errors.As(err, &list) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// checkFault checks that the list has a fault of key with a remedy and the line of the key or of its table.
+// checkFault checks that the list has a fault of key, with a remedy and with the line of the key or of its table.
 func checkFault(t *testing.T, list *FaultList, key string, lines []string) {
 	t.Helper()
 	for _, f := range list.Faults {
@@ -130,7 +130,7 @@
 	t.Errorf("no fault of %s in %v", key, list)
 }
 
-// TestGatewayFaults guards the checks that only gateways have.
+// TestGatewayFaults guards against faults of gateway-only settings that are accepted, and against a token in an error text.
 func TestGatewayFaults(t *testing.T) {
 	cases := map[string]struct {
 		old, new, key string
@@ -141,21 +141,21 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := LoadGateway(edit(t, "gateway.toml", c.old, c.new))
+			_, err := LoadGateway(writeEdited(t, "gateway.toml", c.old, c.new))
 			var list *FaultList
 			if !errors.As(err, &list) || len(list.Faults) != 1 || list.Faults[0].Key != c.key {
 				t.Fatalf("got error %v", err)
 			}
 			if strings.Contains(err.Error(), "secret") {
-				t.Error("the message shows the token")
+				t.Error("the error shows the token")
 			}
 		})
 	}
 }
 
-// TestMalformedFile guards against a syntax error without its line.
-func TestMalformedFile(t *testing.T) {
-	_, err := LoadScheduler(edit(t, "scheduler.toml", `vm = "vm-a1"`, `vm = "vm-a1`))
+// TestSyntaxErrorNamesLine guards against a syntax error that is reported without its line.
+func TestSyntaxErrorNamesLine(t *testing.T) {
+	_, err := LoadScheduler(writeEdited(t, "scheduler.toml", `vm = "vm-a1"`, `vm = "vm-a1`))
 	var list *FaultList
 	if !errors.As(err, &list) || list.Faults[0].Line != 10 {
 		t.Fatalf("got error %v", err)
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// checker collects the faults of decoded values.
+// checker validates decoded values and collects their faults.
 type checker struct {
 	faults []Fault
 }
@@ -24,8 +24,8 @@
 	}
 }
 
-// name checks an id that becomes part of request keys and stream names.
-func (c *checker) name(key, value string) {
+// identifier checks an id, which becomes part of request keys and stream names.
+func (c *checker) identifier(key, value string) {
 	if value == "" {
 		c.required(key, value)
 		return
@@ -44,33 +44,33 @@
 	}
 }
 
-// between checks a number with both bounds included.
-func (c *checker) between(key string, value, low, high int64) {
+// inRange checks that value is inRange low and high, both included.
+func (c *checker) inRange(key string, value, low, high int64) {
 	if value < low || value > high {
 		c.add(key, fmt.Sprintf("use %d to %d", low, high), "has the value %d", value)
 	}
 }
 
-// listen checks an address to listen on. Port 0 lets the system choose one.
-func (c *checker) listen(key, value string) {
+// listenAddress checks an address to listen on. Port 0 lets the operating system choose a port.
+func (c *checker) listenAddress(key, value string) {
 	if value == "" {
 		c.required(key, value)
 		return
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.add(key, "write an IP number and a port, such as 10.0.0.1:7000", "has the value %q", value)
+		c.add(key, "write an IP address and a port, such as 10.0.0.1:7000", "has the value %q", value)
 	}
 }
 
-// reachable checks an address that others connect to, which therefore names one interface and one port.
-func (c *checker) reachable(key, value string) {
+// peerAddress checks an address that peers connect to. It must therefore name one interface and one port.
+func (c *checker) peerAddress(key, value string) {
 	if value == "" {
 		c.required(key, value)
 		return
 	}
 	address, err := netip.ParseAddrPort(value)
 	if err != nil || address.Addr().IsUnspecified() || address.Port() == 0 {
-		c.add(key, "write an IP number and a port that peers can reach, such as 10.0.0.1:7000",
+		c.add(key, "write an IP address and a port that peers can reach, such as 10.0.0.1:7000",
 			"has the value %q", value)
 	}
 }
@@ -86,14 +86,14 @@
 			return
 		}
 	}
-	c.add(key, "write a URL with an IP number and a port, such as http://10.0.0.5:8100", "has the value %q", value)
+	c.add(key, "write a URL with an IP address and a port, such as http://10.0.0.5:8100", "has the value %q", value)
 }
 
 // Bounds of settings. Times are in milliseconds.
 const (
-	// minRetentionMS is three times the interval of the snapshots of a job stream, so that two may fail.
+	// minRetentionMS is three times the snapshot interval of a job stream, so that two snapshots in a row may fail.
 	minRetentionMS = 30 * 60 * 1_000
-	// maxRetentionMS is a year.
+	// maxRetentionMS is one year.
 	maxRetentionMS = 365 * 24 * 3_600 * 1_000
 	minTimeMS      = 1
 	maxTimeMS      = 24 * 60 * 60 * 1000
@@ -104,18 +104,18 @@
 )
 
 func (s *Common) check(c *checker) {
-	c.name("failure_domain", s.FailureDomain)
-	c.name("vm", s.VM)
-	c.name("region", s.Region)
+	c.identifier("failure_domain", s.FailureDomain)
+	c.identifier("vm", s.VM)
+	c.identifier("region", s.Region)
 	c.baseURL("platform.log_url", s.Platform.LogURL)
 	c.baseURL("platform.vm_list_url", s.Platform.VMListURL)
-	c.between("platform.timeout_ms", s.Platform.TimeoutMS, minTimeMS, 60_000)
-	c.between("platform.retention_ms", s.Platform.RetentionMS, minRetentionMS, maxRetentionMS)
+	c.inRange("platform.timeout_ms", s.Platform.TimeoutMS, minTimeMS, 60_000)
+	c.inRange("platform.retention_ms", s.Platform.RetentionMS, minRetentionMS, maxRetentionMS)
 	s.checkPeers(c)
 	c.required("tls.certificate", s.TLS.Certificate)
 	c.required("tls.key", s.TLS.Key)
 	c.required("tls.ca", s.TLS.CA)
-	c.between("tls.reload_ms", s.TLS.ReloadMS, 100, maxTimeMS)
+	c.inRange("tls.reload_ms", s.TLS.ReloadMS, 100, maxTimeMS)
 	c.oneOf("log.level", s.Log.Level, "debug", "info", "warn", "error")
 	c.oneOf("trace.exporter", s.Trace.Exporter, TraceOff, TraceStdout, TraceFile)
 	if s.Trace.Exporter == TraceFile {
@@ -130,10 +130,10 @@
 	seen := map[string]int{}
 	for i, p := range s.Peers {
 		key := fmt.Sprintf("peers[%d]", i)
-		c.name(key+".vm", p.VM)
-		c.name(key+".failure_domain", p.FailureDomain)
+		c.identifier(key+".vm", p.VM)
+		c.identifier(key+".failure_domain", p.FailureDomain)
 		c.oneOf(key+".role", p.Role, RoleGateway, RoleScheduler)
-		c.reachable(key+".inner", p.Inner)
+		c.peerAddress(key+".inner", p.Inner)
 		id := p.VM + "/" + p.Role
 		if first, ok := seen[id]; ok {
 			c.add(key, "remove one of them", "names the same VM and role as peers[%d]", first)
@@ -143,8 +143,8 @@
 	}
 }
 
-// distinct checks that the TCP listeners of a process do not share an address.
-func (c *checker) distinct(listeners ...[2]string) {
+// distinctAddresses checks that the TCP listeners of a process, given as pairs of key and address, do not share an address.
+func (c *checker) distinctAddresses(listeners ...[2]string) {
 	seen := map[string]string{}
 	for _, l := range listeners {
 		key, address := l[0], l[1]
@@ -159,26 +159,26 @@
 	}
 }
 
-// faults returns the faults of the values.
+// faults validates the decoded settings of a gateway.
 func (s *Gateway) faults() []Fault {
 	c := &checker{}
 	s.Common.check(c)
-	c.reachable("listen.inner", s.Listen.Inner)
-	c.listen("listen.metrics", s.Listen.Metrics)
-	c.listen("listen.callers", s.Listen.Callers)
-	c.listen("listen.operators", s.Listen.Operators)
-	c.distinct([2]string{"listen.metrics", s.Listen.Metrics}, [2]string{"listen.callers", s.Listen.Callers},
+	c.peerAddress("listen.inner", s.Listen.Inner)
+	c.listenAddress("listen.metrics", s.Listen.Metrics)
+	c.listenAddress("listen.callers", s.Listen.Callers)
+	c.listenAddress("listen.operators", s.Listen.Operators)
+	c.distinctAddresses([2]string{"listen.metrics", s.Listen.Metrics}, [2]string{"listen.callers", s.Listen.Callers},
 		[2]string{"listen.operators", s.Listen.Operators})
 	l := s.Limits
-	c.between("limits.max_body_bytes", l.MaxBodyBytes, 1, maxBytes)
-	c.between("limits.max_header_bytes", l.MaxHeaderBytes, minHeaderBytes, maxBytes)
-	c.between("limits.read_header_timeout_ms", l.ReadHeaderTimeoutMS, minTimeMS, maxTimeMS)
-	c.between("limits.idle_timeout_ms", l.IdleTimeoutMS, minTimeMS, maxTimeMS)
-	c.between("limits.max_connections", l.MaxConnections, 1, maxCount)
-	c.between("limits.queue_length", l.QueueLength, 1, maxCount)
-	c.between("limits.stored_response_bytes", l.StoredResponseBytes, 0, maxBytes)
-	c.between("shutdown.drain_ms", s.Shutdown.DrainMS, 0, maxTimeMS)
-	c.between("shutdown.finish_ms", s.Shutdown.FinishMS, 0, maxTimeMS)
+	c.inRange("limits.max_body_bytes", l.MaxBodyBytes, 1, maxBytes)
+	c.inRange("limits.max_header_bytes", l.MaxHeaderBytes, minHeaderBytes, maxBytes)
+	c.inRange("limits.read_header_timeout_ms", l.ReadHeaderTimeoutMS, minTimeMS, maxTimeMS)
+	c.inRange("limits.idle_timeout_ms", l.IdleTimeoutMS, minTimeMS, maxTimeMS)
+	c.inRange("limits.max_connections", l.MaxConnections, 1, maxCount)
+	c.inRange("limits.queue_length", l.QueueLength, 1, maxCount)
+	c.inRange("limits.stored_response_bytes", l.StoredResponseBytes, 0, maxBytes)
+	c.inRange("shutdown.drain_ms", s.Shutdown.DrainMS, 0, maxTimeMS)
+	c.inRange("shutdown.finish_ms", s.Shutdown.FinishMS, 0, maxTimeMS)
 	if d := s.Bootstrap.OperatorTokenDigest; d != "" && !isDigest(d) {
 		c.add("bootstrap.operator_token_digest", "copy the digest that redwingctl token new prints",
 			"is not a lower-case hex SHA-256 digest")
@@ -186,12 +186,12 @@
 	return c.faults
 }
 
-// faults returns the faults of the values.
+// faults validates the decoded settings of a scheduler.
 func (s *Scheduler) faults() []Fault {
 	c := &checker{}
 	s.Common.check(c)
-	c.reachable("listen.inner", s.Listen.Inner)
-	c.listen("listen.metrics", s.Listen.Metrics)
+	c.peerAddress("listen.inner", s.Listen.Inner)
+	c.listenAddress("listen.metrics", s.Listen.Metrics)
 	return c.faults
 }
 
