--- a/daemon/node.go
+++ b/daemon/node.go
@@ -194,7 +194,7 @@
 		n.table.ObserveRelayed(relayed.Heartbeat, milliseconds(relayed.AgeMS), now)
 	}
 	n.mu.Unlock()
-	if change.Activity && n.options.Self.Role == membership.RoleGateway {
+	if change.SchedulerChanged && n.options.Self.Role == membership.RoleGateway {
 		// Gateways of other failure domains route job queries to the active scheduler.
 		n.ExpediteGateways()
 	}
--- a/daemon/node_test.go
+++ b/daemon/node_test.go
@@ -47,7 +47,7 @@
 		t.Fatalf("got %+v, error %v", resp, err)
 	}
 	live := node.Live("gateway")
-	if len(live) != 1 || live[0].Member != peer || time.Since(live[0].Seen) > time.Minute {
+	if len(live) != 1 || live[0].Member != peer || time.Since(live[0].LastSeen) > time.Minute {
 		t.Fatalf("live gateways are %+v", live)
 	}
 	if _, err := mux.Handle(t.Context(), peer, &inner.Request{Heartbeat: &inner.Heartbeat{}}); err == nil {
--- a/membership/table.go
+++ b/membership/table.go
@@ -1,11 +1,12 @@
-// Package membership keeps the members of a deployment that a daemon knows, from the settings, the platform's list of
-// VMs and heartbeats.
+// Package membership keeps the table of the members of a deployment that a daemon knows: from the settings, the
+// platform's list of VMs and heartbeats.
 //
-// A gateway exchanges heartbeats with every gateway and with the schedulers of its failure domain, a scheduler with the
-// members of its failure domain only; gateways relay what they know of their schedulers. One exchange informs both
-// ends, so of each pair only the member with the lower address starts it, unless it falls silent.
+// A gateway exchanges heartbeats with every gateway and with the schedulers of its failure domain, a scheduler only
+// with the members of its failure domain; gateways relay the heartbeats of their schedulers to gateways of other
+// failure domains. One exchange informs both ends, so the member of a pair with the lower address starts it; the other
+// member starts one only if it has received no heartbeat for longer.
 //
-// The package is pure: the caller gives the time and carries out the heartbeats that Due asks for.
+// The package does no I/O and reads no clock: the caller passes the time and sends the heartbeats that Due returns.
 package membership
 
 import (
@@ -22,44 +23,44 @@
 	RoleScheduler = "scheduler"
 )
 
-// Options are the times of a Table.
+// Options configures the intervals of a Table.
 type Options struct {
 	// LocalInterval is the time between heartbeats to members of the same failure domain.
 	LocalInterval time.Duration
 	// RemoteInterval is the time between heartbeats to members of other failure domains. It is longer, so that the
-	// cost of a daemon hardly grows with the number of failure domains.
+	// load of a daemon hardly grows with the number of failure domains.
 	RemoteInterval time.Duration
-	// MissedBeats is the number of intervals without a heartbeat after which a member is not live.
-	MissedBeats int
-	// ForgetAfter is the time after which a member that is not live and not in the settings is removed.
-	ForgetAfter time.Duration
+	// MissedHeartbeats is the number of intervals without a heartbeat after which a member is no longer live.
+	MissedHeartbeats int
+	// RemoveAfter is the time without a heartbeat after which a member that is not in the settings is removed.
+	RemoveAfter time.Duration
 }
 
-// DefaultOptions returns times with which a lost gateway is noticed after 3 s in its failure domain and after 9 s in the
-// others, and which keep the cost of a gateway at the planned size (13 other gateways) within its control budget.
+// DefaultOptions returns intervals with which a failed gateway is detected after 3 s in its failure domain and after
+// 9 s in the others. At the planned size (13 other gateways) the heartbeats of a gateway stay within its control budget.
 func DefaultOptions() Options {
 	return Options{
-		LocalInterval:  time.Second,
-		RemoteInterval: 3 * time.Second,
-		MissedBeats:    3,
-		ForgetAfter:    10 * time.Minute,
+		LocalInterval:    time.Second,
+		RemoteInterval:   3 * time.Second,
+		MissedHeartbeats: 3,
+		RemoveAfter:      10 * time.Minute,
 	}
 }
 
-// Peer is what the daemon knows of a member.
+// Peer is the state of a member as the daemon knows it.
 type Peer struct {
 	Member    inner.Member
 	Heartbeat inner.Heartbeat
-	// Seen is the time of the last heartbeat; zero before the first.
-	Seen time.Time
-	// Leaving reports whether any source said that the VM or the daemon is leaving.
+	// LastSeen is the time of the last heartbeat; zero before the first.
+	LastSeen time.Time
+	// Leaving reports whether the member's heartbeat or the platform's list of VMs has said that it is leaving.
 	Leaving bool
 }
 
-// entry is the state of one inner protocol address.
+// entry is the row of the table for one inner protocol address.
 type entry struct {
 	peer Peer
-	// seed marks an address of the settings, which is never forgotten.
+	// seed marks an address of the settings, whose entry is never removed.
 	seed    bool
 	nextDue time.Time
 	added   time.Time
@@ -71,12 +72,12 @@
 	options Options
 	// members is keyed by inner protocol address: a replaced VM at the same address replaces its entry.
 	members map[string]*entry
-	// leavingVMs holds VMs that the platform's list has said to be leaving. The list lags and may go back, so a VM
-	// stays here until a new incarnation of its daemon reports itself.
+	// leavingVMs holds the VMs that the platform's list has shown as leaving. The list lags and may revert to an older
+	// state, so a VM stays here until a heartbeat with a new incarnation arrives from it.
 	leavingVMs map[string]bool
 }
 
-// New returns a table that knows only self.
+// New returns a table without any member except self.
 func New(self inner.Member, options Options) *Table {
 	return &Table{
 		self:       self,
@@ -89,85 +90,87 @@
 // Self returns the daemon's own member.
 func (t *Table) Self() inner.Member { return t.self }
 
-// AddSeed adds a member of the settings. Its incarnation is not known before its first heartbeat.
+// AddSeed adds a member of the settings. Its incarnation is unknown until its first heartbeat.
 func (t *Table) AddSeed(member inner.Member, now time.Time) {
 	if member.Address == t.self.Address {
 		return
 	}
-	e := t.add(member, now)
+	e := t.getOrAdd(member, now)
 	e.seed = true
 }
 
-// Change is what a heartbeat told that was not known before.
+// Change is what a received heartbeat changed in the table.
 type Change struct {
 	// Joined reports that the member is new or has restarted.
 	Joined bool
-	// Activity reports that a scheduler of the own failure domain became active, or is not active any more.
-	Activity bool
+	// SchedulerChanged reports that a scheduler of the daemon's failure domain became active, stopped being active or
+	// changed its epoch.
+	SchedulerChanged bool
 }
 
-// ObserveHeartbeat takes a heartbeat, received as a request or as an answer.
-func (t *Table) ObserveHeartbeat(beat inner.Heartbeat, now time.Time) Change {
-	if beat.Member.Address == "" || beat.Member.Address == t.self.Address {
+// ObserveHeartbeat applies a heartbeat that was received as a request or as a response.
+func (t *Table) ObserveHeartbeat(heartbeat inner.Heartbeat, now time.Time) Change {
+	if heartbeat.Member.Address == "" || heartbeat.Member.Address == t.self.Address {
 		return Change{}
 	}
-	e := t.add(beat.Member, now)
-	restarted := e.peer.Member.Incarnation != beat.Member.Incarnation
-	known := e.peer.Heartbeat
+	e := t.getOrAdd(heartbeat.Member, now)
+	restarted := e.peer.Member.Incarnation != heartbeat.Member.Incarnation
+	previous := e.peer.Heartbeat
 	change := Change{
-		Joined: restarted || e.peer.Seen.IsZero(),
-		Activity: beat.Member.FailureDomain == t.self.FailureDomain &&
-			(known.Active != beat.Active || known.Epoch != beat.Epoch),
+		Joined: restarted || e.peer.LastSeen.IsZero(),
+		SchedulerChanged: heartbeat.Member.FailureDomain == t.self.FailureDomain &&
+			(previous.Active != heartbeat.Active || previous.Epoch != heartbeat.Epoch),
 	}
 	if restarted {
-		delete(t.leavingVMs, beat.Member.VM)
+		delete(t.leavingVMs, heartbeat.Member.VM)
 	}
-	e.peer.Member = beat.Member
-	e.peer.Heartbeat = beat
-	e.peer.Seen = now
-	e.nextDue = now.Add(t.pause(beat.Member))
+	e.peer.Member = heartbeat.Member
+	e.peer.Heartbeat = heartbeat
+	e.peer.LastSeen = now
+	e.nextDue = now.Add(t.sendDelay(heartbeat.Member))
 	return change
 }
 
-// ObserveRelayed takes the heartbeat of another failure domain's scheduler that a gateway received age ago. An older
-// one than the last known changes nothing.
-func (t *Table) ObserveRelayed(beat inner.Heartbeat, age time.Duration, now time.Time) {
+// ObserveRelayed applies the heartbeat of another failure domain's scheduler, which a gateway of that domain received
+// age ago. A heartbeat older than the last known one is ignored.
+func (t *Table) ObserveRelayed(heartbeat inner.Heartbeat, age time.Duration, now time.Time) {
 	seen := now.Add(-age)
-	if beat.Member.Address == "" || age < 0 || t.beatsWith(beat.Member) {
+	if heartbeat.Member.Address == "" || age < 0 || t.exchangesWith(heartbeat.Member) {
 		return
 	}
-	e := t.add(beat.Member, now)
-	if seen.Before(e.peer.Seen) {
+	e := t.getOrAdd(heartbeat.Member, now)
+	if seen.Before(e.peer.LastSeen) {
 		return
 	}
-	e.peer.Member = beat.Member
-	e.peer.Heartbeat = beat
-	e.peer.Seen = seen
+	e.peer.Member = heartbeat.Member
+	e.peer.Heartbeat = heartbeat
+	e.peer.LastSeen = seen
 }
 
-// Relay returns the heartbeats of the live schedulers of the own failure domain for gateways of other ones.
+// Relay returns the heartbeats of the live schedulers of the daemon's failure domain, for gateways of other failure
+// domains.
 func (t *Table) Relay(now time.Time) []inner.RelayedHeartbeat {
 	var relayed []inner.RelayedHeartbeat
 	for _, peer := range t.Live(RoleScheduler, now) {
 		if peer.Member.FailureDomain == t.self.FailureDomain {
 			relayed = append(relayed, inner.RelayedHeartbeat{Heartbeat: peer.Heartbeat,
-				AgeMS: now.Sub(peer.Seen).Milliseconds()})
+				AgeMS: now.Sub(peer.LastSeen).Milliseconds()})
 		}
 	}
 	return relayed
 }
 
-// beatsWith reports whether the daemon exchanges heartbeats with member.
-func (t *Table) beatsWith(member inner.Member) bool {
+// exchangesWith reports whether the daemon exchanges heartbeats with member.
+func (t *Table) exchangesWith(member inner.Member) bool {
 	if member.FailureDomain == t.self.FailureDomain {
 		return true
 	}
 	return t.self.Role == RoleGateway && member.Role == RoleGateway
 }
 
-// pause returns the time from a received heartbeat until the daemon sends the next one by itself. The member with the
-// higher address waits longer, so that it sends only when the other one fell silent or cannot reach it.
-func (t *Table) pause(member inner.Member) time.Duration {
+// sendDelay returns the delay from a received heartbeat until the daemon sends the next one itself. The member with the
+// higher address waits longer, so that it sends only if the other member has failed or cannot reach it.
+func (t *Table) sendDelay(member inner.Member) time.Duration {
 	interval := t.interval(member)
 	if t.self.Address < member.Address {
 		return interval
@@ -175,7 +178,7 @@
 	return interval + interval/2
 }
 
-// ObserveVMs takes the platform's list of VMs. Entry VMs that it calls leaving stay so, see leavingVMs.
+// ObserveVMs applies the platform's list of VMs. Entry VMs that it shows as leaving stay marked, see leavingVMs.
 func (t *Table) ObserveVMs(vms []infra.VM) {
 	for _, vm := range vms {
 		if vm.Role == infra.RoleEntry && vm.State == infra.VMLeaving {
@@ -184,10 +187,11 @@
 	}
 }
 
-// SelfLeaving reports whether the platform's list has said that the daemon's own VM is leaving.
+// SelfLeaving reports whether the platform's list has shown the daemon's own VM as leaving.
 func (t *Table) SelfLeaving() bool { return t.leavingVMs[t.self.VM] }
 
-// Due returns the members that a heartbeat is due for and counts them as sent.
+// Due returns the members to which a heartbeat is due, sorted by address, and schedules their next one. It also removes
+// expired members.
 func (t *Table) Due(now time.Time) []inner.Member {
 	var due []inner.Member
 	for address, e := range t.members {
@@ -195,7 +199,7 @@
 			delete(t.members, address)
 			continue
 		}
-		if now.Before(e.nextDue) || !t.beatsWith(e.peer.Member) {
+		if now.Before(e.nextDue) || !t.exchangesWith(e.peer.Member) {
 			continue
 		}
 		e.nextDue = now.Add(t.interval(e.peer.Member))
@@ -205,8 +209,8 @@
 	return due
 }
 
-// ExpediteGateways makes a heartbeat to every gateway due at once, so that news such as a leaving endpoint need not
-// wait for the interval.
+// ExpediteGateways makes a heartbeat to every gateway due immediately, so that a change such as a leaving endpoint need
+// not wait for the interval.
 func (t *Table) ExpediteGateways() {
 	for _, e := range t.members {
 		if e.peer.Member.Role == RoleGateway {
@@ -215,7 +219,7 @@
 	}
 }
 
-// Live returns the live members of a role, sorted by address; an empty role means all. Self is not included.
+// Live returns the live members of a role, sorted by address; an empty role means all roles. Self is not included.
 func (t *Table) Live(role string, now time.Time) []Peer {
 	var live []Peer
 	for _, e := range t.members {
@@ -245,13 +249,15 @@
 	return all
 }
 
-// IsLive reports whether a peer returned by All was seen recently enough.
+// IsLive reports whether a peer returned by All is live: its last heartbeat is not older than the allowed number of
+// missed intervals.
 func (t *Table) IsLive(peer Peer, now time.Time) bool {
 	e, ok := t.members[peer.Member.Address]
 	return ok && t.live(e, now)
 }
 
-func (t *Table) add(member inner.Member, now time.Time) *entry {
+// getOrAdd returns the entry of a member and adds it to the table if it is missing.
+func (t *Table) getOrAdd(member inner.Member, now time.Time) *entry {
 	e, ok := t.members[member.Address]
 	if !ok {
 		e = &entry{peer: Peer{Member: member}, added: now}
@@ -268,22 +274,23 @@
 }
 
 func (t *Table) live(e *entry, now time.Time) bool {
-	limit := time.Duration(t.options.MissedBeats) * t.interval(e.peer.Member)
-	if !t.beatsWith(e.peer.Member) {
-		// A relayed heartbeat may be as old as its own interval when it is sent.
-		limit += time.Duration(t.options.MissedBeats) * t.options.LocalInterval
+	limit := time.Duration(t.options.MissedHeartbeats) * t.interval(e.peer.Member)
+	if !t.exchangesWith(e.peer.Member) {
+		// A gateway relays a heartbeat until MissedHeartbeats local intervals have passed, so it may be that old.
+		limit += time.Duration(t.options.MissedHeartbeats) * t.options.LocalInterval
 	}
-	return !e.peer.Seen.IsZero() && now.Sub(e.peer.Seen) <= limit
+	return !e.peer.LastSeen.IsZero() && now.Sub(e.peer.LastSeen) <= limit
 }
 
 func (t *Table) leaving(peer Peer) bool {
 	return peer.Heartbeat.Leaving || t.leavingVMs[peer.Member.VM]
 }
 
+// expired reports whether the entry is to be removed from the table.
 func (t *Table) expired(e *entry, now time.Time) bool {
-	last := e.peer.Seen
+	last := e.peer.LastSeen
 	if last.IsZero() {
 		last = e.added
 	}
-	return !e.seed && now.Sub(last) > t.options.ForgetAfter
+	return !e.seed && now.Sub(last) > t.options.RemoveAfter
 }
