--- a/inner/client.go
+++ b/inner/client.go
@@ -10,33 +10,34 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// defaultCallTimeout bounds a call whose context has no deadline.
+// defaultCallTimeout bounds a Call whose context has no deadline.
 const defaultCallTimeout = 5 * time.Second
 
-// Client sends requests to peers. It keeps one connection for each address. It is safe for concurrent use.
+// Client sends requests to peers over one connection per address. It is safe for concurrent use.
 type Client struct {
 	keys  *KeyStore
 	meter *meter
 
 	mu sync.Mutex
 	// conns is guarded by mu.
-	conns map[string]*clientConn
+	conns map[string]*peerConn
 }
 
-// clientConn is the connection to one address. Its lock is held while dialling, so that concurrent calls share one dial.
-type clientConn struct {
+// peerConn is the connection to one address. Its lock is held during a dial, so that concurrent requests share it.
+type peerConn struct {
 	mu sync.Mutex
-	// conn is guarded by mu; nil before the first dial and after a failure.
+	// conn is guarded by mu; it is nil before the first dial and after a failure.
 	conn *quic.Conn
 }
 
-// NewClient returns a client that uses the keys of the store.
+// NewClient returns a client that authenticates with the keys of the store.
 func NewClient(keys *KeyStore) *Client {
-	return &Client{keys: keys, meter: newMeter("client"), conns: make(map[string]*clientConn)}
+	return &Client{keys: keys, meter: newMeter("client"), conns: make(map[string]*peerConn)}
 }
 
-// Call sends req to address and returns the peer's response. A typed error of the peer is returned as it was sent.
-// Unavailable means that the peer could not be reached and has not seen the request; Unknown means that it may have.
+// Call sends req to the peer at address (host:port) and returns its response. An error that the peer's handler returned
+// is returned as sent. Otherwise a kind of Unavailable means that the peer could not be reached and has not received
+// the request; Unknown means that it may have received and handled it.
 func (c *Client) Call(ctx context.Context, address string, req *Request) (*Response, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -47,12 +48,12 @@
 	if err != nil {
 		return nil, errkind.Wrap(err, errkind.Unavailable, "check the peer's address and health", "reach peer %s", address)
 	}
-	// The message is a copy, since a caller may send one request to several peers at once.
+	// The caller may send one request to several peers at once, so the trace context is set in a copy.
 	message := *req
 	message.TraceContext = injectTrace(ctx)
 	resp, err := c.exchange(ctx, stream, &message)
 	if err != nil {
-		c.entry(address).retire(conn)
+		c.peer(address).retire(conn)
 		return nil, errkind.Wrap(err, errkind.Unknown, "read the state back before repeating the request",
 			"exchange with peer %s", address)
 	}
@@ -62,37 +63,38 @@
 	return resp, nil
 }
 
-// Close closes all connections.
+// Close closes all connections. A later Call dials again.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, entry := range c.conns {
-		entry.mu.Lock()
-		if entry.conn != nil {
-			entry.conn.CloseWithError(0, "client closed")
-			entry.conn = nil
+	for _, peer := range c.conns {
+		peer.mu.Lock()
+		if peer.conn != nil {
+			peer.conn.CloseWithError(0, "client closed")
+			peer.conn = nil
 		}
-		entry.mu.Unlock()
+		peer.mu.Unlock()
 	}
 }
 
-func (c *Client) entry(address string) *clientConn {
+// peer returns the connection state of address and creates it if needed.
+func (c *Client) peer(address string) *peerConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	entry, ok := c.conns[address]
+	peer, ok := c.conns[address]
 	if !ok {
-		entry = &clientConn{}
-		c.conns[address] = entry
+		peer = &peerConn{}
+		c.conns[address] = peer
 	}
-	return entry
+	return peer
 }
 
-// openStream opens a stream to address on a live connection, dialling if there is none. A connection that cannot open a
-// stream is replaced once: nothing was sent on it, so this repeats no request.
+// openStream opens a stream to address and dials if there is no open connection. A connection that cannot open a stream
+// is replaced once: no request was sent on the stream, so none is repeated.
 func (c *Client) openStream(ctx context.Context, address string) (*quic.Stream, *quic.Conn, error) {
-	entry := c.entry(address)
+	peer := c.peer(address)
 	for attempt := 0; ; attempt++ {
-		conn, err := entry.get(ctx, address, c.keys)
+		conn, err := peer.connect(ctx, address, c.keys)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -100,18 +102,19 @@
 		if err == nil {
 			return stream, conn, nil
 		}
-		entry.discard(conn)
+		peer.discard(conn)
 		if attempt > 0 || ctx.Err() != nil {
 			return nil, nil, err
 		}
 	}
 }
 
-func (e *clientConn) get(ctx context.Context, address string, keys *KeyStore) (*quic.Conn, error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.conn != nil && e.conn.Context().Err() == nil {
-		return e.conn, nil
+// connect returns the open connection or dials a new one.
+func (p *peerConn) connect(ctx context.Context, address string, keys *KeyStore) (*quic.Conn, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.conn != nil && p.conn.Context().Err() == nil {
+		return p.conn, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -119,27 +122,28 @@
 	if err != nil {
 		return nil, err
 	}
-	wire.add(conn)
-	e.conn = conn
+	connTraffic.add(conn)
+	p.conn = conn
 	return conn, nil
 }
 
-// discard closes conn and forgets it, unless it was replaced already.
-func (e *clientConn) discard(conn *quic.Conn) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.conn == conn {
-		e.conn = nil
+// discard closes conn and, unless it was replaced already, removes it, so that the next request dials.
+func (p *peerConn) discard(conn *quic.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.conn == conn {
+		p.conn = nil
 	}
 	conn.CloseWithError(0, "replaced")
 }
 
+// exchange writes the request and reads the response on a new stream, bounded by ctx.
 func (c *Client) exchange(ctx context.Context, stream *quic.Stream, req *Request) (*Response, error) {
 	defer stream.CancelRead(0)
 	if deadline, ok := ctx.Deadline(); ok {
 		stream.SetDeadline(deadline)
 	}
-	// A cancelled call must not wait for the deadline.
+	// A cancelled request must not wait for the deadline.
 	stop := context.AfterFunc(ctx, func() { stream.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	kind := req.kind()
@@ -161,14 +165,14 @@
 	return &resp, nil
 }
 
-// retire makes the next call dial anew after a failed exchange: the connection may have gone silent for good while new
-// ones work. Exchanges under way on it may still finish before it is closed.
-func (e *clientConn) retire(conn *quic.Conn) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.conn != conn {
+// retire makes the next request dial after a failed exchange: the connection may be dead for good while new ones work.
+// Other exchanges in progress on it have maxIdleTimeout to complete before it is closed.
+func (p *peerConn) retire(conn *quic.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.conn != conn {
 		return
 	}
-	e.conn = nil
-	time.AfterFunc(maxIdle, func() { conn.CloseWithError(0, "retired") })
+	p.conn = nil
+	time.AfterFunc(maxIdleTimeout, func() { conn.CloseWithError(0, "retired") })
 }
--- a/inner/codec.go
+++ b/inner/codec.go
@@ -9,14 +9,14 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// MaxFrameBytes bounds one encoded message. It holds a forwarded body of 8 MB with its headers, and a folded
-// configuration of the planned size.
+// MaxFrameBytes bounds one encoded message. It fits a forwarded body of 8 MB with its headers, and a configuration
+// state of the planned size.
 const MaxFrameBytes = 16 << 20
 
-// frameHeaderBytes is the length of the big-endian frame length that precedes every message.
+// frameHeaderBytes is the size of the big-endian message length at the start of every frame.
 const frameHeaderBytes = 4
 
-// decMode refuses duplicate map keys and bounds the nesting of received messages.
+// decMode rejects duplicate map keys and bounds the nesting of received messages.
 var decMode = mustDecMode()
 
 func mustDecMode() cbor.DecMode {
@@ -34,7 +34,7 @@
 		return 0, errkind.Wrap(err, errkind.Internal, "report this as a fault of the program", "encode message")
 	}
 	if len(data) > MaxFrameBytes {
-		return 0, errkind.New(errkind.TooLarge, "send a smaller body", "message of %d bytes is above %d",
+		return 0, errkind.New(errkind.TooLarge, "send a smaller body", "message of %d bytes exceeds the limit of %d bytes",
 			len(data), MaxFrameBytes)
 	}
 	frame := make([]byte, frameHeaderBytes, frameHeaderBytes+len(data))
@@ -51,7 +51,7 @@
 	length := binary.BigEndian.Uint32(header[:])
 	if length > MaxFrameBytes {
 		return frameHeaderBytes, errkind.New(errkind.TooLarge, "check that both ends run compatible versions",
-			"frame of %d bytes is above %d", length, MaxFrameBytes)
+			"frame of %d bytes exceeds the limit of %d bytes", length, MaxFrameBytes)
 	}
 	data := make([]byte, length)
 	if _, err := io.ReadFull(r, data); err != nil {
--- a/inner/inner_test.go
+++ b/inner/inner_test.go
@@ -11,22 +11,22 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// authority is a CA that has issued keys for the names of the tests.
-type authority struct{ dir string }
+// testCA is a CA that has issued certificates for the names that the tests use.
+type testCA struct{ dir string }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
 	dir := t.TempDir()
 	if _, err := devcerts.Write(dir, []string{"server", "vm-1", "own", "foreign"}, nil, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	return &authority{dir: dir}
+	return &testCA{dir: dir}
 }
 
 // files returns the key files issued for name.
-func (a *authority) files(name string) KeyFiles {
-	return KeyFiles{Certificate: filepath.Join(a.dir, name+".pem"), Key: filepath.Join(a.dir, name+".key"),
-		CA: filepath.Join(a.dir, "ca.pem")}
+func (ca *testCA) files(name string) KeyFiles {
+	return KeyFiles{Certificate: filepath.Join(ca.dir, name+".pem"), Key: filepath.Join(ca.dir, name+".key"),
+		CA: filepath.Join(ca.dir, "ca.pem")}
 }
 
 func mustKeys(t *testing.T, files KeyFiles) *KeyStore {
@@ -66,9 +66,9 @@
 	return &Response{FetchState: &FetchStateResponse{State: []byte(from.VM + req.JobQuery.ID)}}, nil
 }
 
-// TestCallCarriesMessageAndTypedError guards against lost fields and against errors that lose their kind on the way.
-func TestCallCarriesMessageAndTypedError(t *testing.T) {
-	ca := newAuthority(t)
+// TestCallReturnsResponseAndTypedError guards against lost fields and against errors that lose their kind in transit.
+func TestCallReturnsResponseAndTypedError(t *testing.T) {
+	ca := newTestCA(t)
 	server := startServer(t, mustKeys(t, ca.files("server")), handlerFunc(echoQuery))
 	client := NewClient(mustKeys(t, ca.files("vm-1")))
 	defer client.Close()
@@ -82,10 +82,11 @@
 	}
 }
 
-// TestForeignCertificatesAreRefused guards both ends against processes of another CA.
-func TestForeignCertificatesAreRefused(t *testing.T) {
-	own := newAuthority(t).files("own")
-	foreign := newAuthority(t).files("foreign")
+// TestCertificatesOfOtherCAAreRejected guards against a client or server that accepts a peer with a certificate of
+// another CA.
+func TestCertificatesOfOtherCAAreRejected(t *testing.T) {
+	own := newTestCA(t).files("own")
+	foreign := newTestCA(t).files("foreign")
 	trusting := foreign
 	trusting.CA = own.CA
 	cases := map[string]struct{ server, client KeyFiles }{
@@ -104,9 +105,9 @@
 	}
 }
 
-// TestReloadReplacesKeys guards against a process that needs a restart for new keys.
+// TestReloadReplacesKeys guards against a process that needs a restart to use new keys.
 func TestReloadReplacesKeys(t *testing.T) {
-	first, second := newAuthority(t), newAuthority(t)
+	first, second := newTestCA(t), newTestCA(t)
 	serverKeys := mustKeys(t, first.files("server"))
 	client := NewClient(mustKeys(t, second.files("vm-1")))
 	defer client.Close()
@@ -124,9 +125,10 @@
 	}
 }
 
-// TestRestartedPeerIsReachedAgain guards against a connection to a dead process that outlives its replacement.
+// TestRestartedPeerIsReachedAgain guards against a client that keeps using the connection to a dead process after
+// another process has replaced it.
 func TestRestartedPeerIsReachedAgain(t *testing.T) {
-	ca := newAuthority(t)
+	ca := newTestCA(t)
 	keys := mustKeys(t, ca.files("server"))
 	server := startServer(t, keys, handlerFunc(echoQuery))
 	address := server.Address()
@@ -136,8 +138,8 @@
 	if _, err := client.Call(t.Context(), address, query); err != nil {
 		t.Fatal(err)
 	}
-	// Closing the socket first makes the old connection silent.
-	server.packets.Close()
+	// With its socket closed, the old connection gets no more packets and is not closed by the peer.
+	server.packetConn.Close()
 	restarted, err := Listen(address, keys, handlerFunc(echoQuery))
 	if err != nil {
 		t.Fatal(err)
@@ -158,9 +160,9 @@
 	}
 }
 
-// TestOversizeFrameIsRefused guards against a peer that makes the receiver allocate without bound.
-func TestOversizeFrameIsRefused(t *testing.T) {
-	ca := newAuthority(t)
+// TestOversizeFrameIsRejected guards against a peer that makes the receiver allocate without bound.
+func TestOversizeFrameIsRejected(t *testing.T) {
+	ca := newTestCA(t)
 	server := startServer(t, mustKeys(t, ca.files("server")), handlerFunc(echoQuery))
 	client := NewClient(mustKeys(t, ca.files("vm-1")))
 	defer client.Close()
--- a/inner/keys.go
+++ b/inner/keys.go
@@ -11,29 +11,29 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// protocolName is the ALPN name of the inner protocol.
-const protocolName = "redwing/1"
+// alpnProtocol is the ALPN protocol id of the inner protocol.
+const alpnProtocol = "redwing/1"
 
-// KeyFiles names the PEM files of one process.
+// KeyFiles names the PEM files of a process.
 type KeyFiles struct {
 	Certificate string
 	Key         string
 	CA          string
 }
 
-// keyPair is one loaded set of keys.
-type keyPair struct {
+// credentials is the loaded content of a set of key files.
+type credentials struct {
 	certificate tls.Certificate
 	roots       *x509.CertPool
 }
 
-// KeyStore holds the keys of the process and replaces them when the files change. It is safe for concurrent use.
+// KeyStore holds the TLS keys of the process and reloads them from their files. It is safe for concurrent use.
 type KeyStore struct {
 	files   KeyFiles
-	current atomic.Pointer[keyPair]
+	current atomic.Pointer[credentials]
 }
 
-// NewKeyStore loads the files. It returns a BadInput error that names the file at fault.
+// NewKeyStore loads the files. If a file cannot be used, it returns a BadInput error that names the setting to check.
 func NewKeyStore(files KeyFiles) (*KeyStore, error) {
 	s := &KeyStore{files: files}
 	if err := s.Reload(); err != nil {
@@ -42,28 +42,28 @@
 	return s, nil
 }
 
-// Reload reads the files again. After an error the previous keys stay in use.
+// Reload reads the files again. Its errors are those of NewKeyStore; after an error the previous keys stay in use.
 func (s *KeyStore) Reload() error {
 	certificate, err := tls.LoadX509KeyPair(s.files.Certificate, s.files.Key)
 	if err != nil {
 		return errkind.Wrap(err, errkind.BadInput, "check tls.certificate and tls.key in the settings",
 			"load key pair %s", s.files.Certificate)
 	}
-	authority, err := os.ReadFile(s.files.CA)
+	caPEM, err := os.ReadFile(s.files.CA)
 	if err != nil {
 		return errkind.Wrap(err, errkind.BadInput, "check tls.ca in the settings", "read CA file")
 	}
 	roots := x509.NewCertPool()
-	if !roots.AppendCertsFromPEM(authority) {
+	if !roots.AppendCertsFromPEM(caPEM) {
 		return errkind.New(errkind.BadInput, "put at least one PEM certificate into the file",
 			"CA file %s holds no certificate", s.files.CA)
 	}
-	s.current.Store(&keyPair{certificate: certificate, roots: roots})
+	s.current.Store(&credentials{certificate: certificate, roots: roots})
 	return nil
 }
 
-// Watch reloads the keys every interval until ctx ends. report is called with the error of each failed reload.
-func (s *KeyStore) Watch(ctx context.Context, interval time.Duration, report func(error)) {
+// Watch reloads the keys every interval until ctx ends. It calls onError with the error of each failed reload.
+func (s *KeyStore) Watch(ctx context.Context, interval time.Duration, onError func(error)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -72,20 +72,20 @@
 			return
 		case <-ticker.C:
 			if err := s.Reload(); err != nil {
-				report(err)
+				onError(err)
 			}
 		}
 	}
 }
 
-// serverConfig returns the TLS configuration of a listener; each handshake uses the keys of that moment.
+// serverConfig returns the TLS configuration of a listener. Each handshake uses the keys that are loaded at its time.
 func (s *KeyStore) serverConfig() *tls.Config {
-	base := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{protocolName}}
+	base := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{alpnProtocol}}
 	base.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		keys := s.current.Load()
 		return &tls.Config{
 			MinVersion:   tls.VersionTLS13,
-			NextProtos:   []string{protocolName},
+			NextProtos:   []string{alpnProtocol},
 			Certificates: []tls.Certificate{keys.certificate},
 			ClientAuth:   tls.RequireAndVerifyClientCert,
 			ClientCAs:    keys.roots,
@@ -94,15 +94,15 @@
 	return base
 }
 
-// clientConfig returns the TLS configuration of a dial with the present keys.
+// clientConfig returns the TLS configuration of a dial with the currently loaded keys.
 //
-// The server's certificate chain is verified, its name is not: a replaced VM has a new address, and every certificate
-// of the deployment's CA belongs to a process of the system.
+// The server's certificate chain is verified, but not its host name: a replaced VM has a new address, and every
+// certificate of the deployment's CA belongs to a process of the system.
 func (s *KeyStore) clientConfig() *tls.Config {
 	keys := s.current.Load()
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
-		NextProtos:         []string{protocolName},
+		NextProtos:         []string{alpnProtocol},
 		Certificates:       []tls.Certificate{keys.certificate},
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
@@ -111,7 +111,7 @@
 	}
 }
 
-// verifyChain checks that the leaf was issued for server use by one of roots.
+// verifyChain checks that the leaf certificate is valid for server authentication and chains up to one of roots.
 func verifyChain(chain []*x509.Certificate, roots *x509.CertPool) error {
 	if len(chain) == 0 {
 		return errkind.New(errkind.Unauthenticated, "set tls.certificate on the peer", "peer sent no certificate")
--- a/inner/messages.go
+++ b/inner/messages.go
@@ -1,5 +1,5 @@
-// Package inner is the protocol between the system's own processes: QUIC with mutual TLS, one bidirectional stream for
-// each exchange, CBOR frames of bounded length.
+// Package inner implements the protocol between the system's own processes: QUIC with mutual TLS, one bidirectional
+// stream for each request and its response, CBOR messages in frames of bounded length.
 package inner
 
 import (
@@ -21,7 +21,7 @@
 	JobQuery     *JobQuery         `cbor:"job_query,omitempty"`
 }
 
-// Response is the answer to a Request. Either Error or the field that matches the request is set.
+// Response is the response to a Request. Either Error or the field that matches the request is set.
 type Response struct {
 	Error        *errkind.Error        `cbor:"error,omitempty"`
 	Heartbeat    *Heartbeat            `cbor:"heartbeat,omitempty"`
@@ -31,7 +31,7 @@
 	JobQuery     *JobQueryResponse     `cbor:"job_query,omitempty"`
 }
 
-// Member names one incarnation of a daemon.
+// Member identifies one incarnation of a daemon.
 type Member struct {
 	FailureDomain string `cbor:"fd" json:"failure_domain"`
 	VM            string `cbor:"vm" json:"vm"`
@@ -42,34 +42,36 @@
 	Address string `cbor:"addr" json:"address"`
 }
 
-// Heartbeat tells a peer the sender's state. The answer is the receiver's own heartbeat.
+// Heartbeat reports the sender's state to a peer. The response is the receiver's own heartbeat.
 type Heartbeat struct {
 	Member        Member `cbor:"member"`
 	ConfigVersion uint64 `cbor:"config_version"`
 	ConfigDigest  uint64 `cbor:"config_digest"`
-	// ConfigNext is the offset of the configuration stream up to which the sender has folded.
+	// ConfigNext is the offset of the first record of the configuration stream that the sender has not applied.
 	ConfigNext uint64 `cbor:"config_next"`
 	// HasConfig is false until the sender has a configuration.
 	HasConfig bool `cbor:"has_config"`
 	Ready     bool `cbor:"ready"`
 	Leaving   bool `cbor:"leaving"`
-	// Active reports whether a scheduler holds the lease of its failure domain, at Epoch.
+	// Active reports whether the sender is a scheduler that holds the lease of its failure domain; Epoch is its epoch.
 	Active bool   `cbor:"active,omitempty"`
 	Epoch  uint64 `cbor:"epoch,omitempty"`
-	// LeavingEndpoints lists endpoint incarnations that became leaving since the last heartbeat to this peer.
+	// LeavingEndpoints lists the endpoint incarnations that a gateway knows to be leaving.
 	LeavingEndpoints []EndpointIncarnation `cbor:"leaving_endpoints,omitempty"`
-	// Relayed holds what a gateway knows of the schedulers of its failure domain, for gateways of other ones.
+	// Relayed holds the last heartbeats of the live schedulers of a gateway's failure domain, for gateways of other
+	// failure domains.
 	Relayed []RelayedHeartbeat `cbor:"relayed,omitempty"`
 }
 
-// RelayedHeartbeat is the heartbeat of a scheduler as its gateway received it. It relays nothing itself.
+// RelayedHeartbeat is the heartbeat of a scheduler as a gateway of its failure domain received it. It contains no
+// relayed heartbeats itself.
 type RelayedHeartbeat struct {
 	Heartbeat Heartbeat `cbor:"beat"`
 	// AgeMS is the time since the gateway received it, in milliseconds.
 	AgeMS int64 `cbor:"age_ms"`
 }
 
-// EndpointIncarnation names one incarnation of an endpoint.
+// EndpointIncarnation identifies one incarnation of an endpoint.
 type EndpointIncarnation struct {
 	Service     string `cbor:"service"`
 	Endpoint    string `cbor:"endpoint"`
@@ -82,7 +84,7 @@
 	Values []string `cbor:"v"`
 }
 
-// Forward asks the owner of Key to run a request, or to give the stored result if the key was used.
+// Forward asks the gateway that owns Key to run a request, or to return the stored result if the key was already used.
 type Forward struct {
 	Account string `cbor:"account"`
 	Key     string `cbor:"key"`
@@ -92,7 +94,7 @@
 	Path   string        `cbor:"path"`
 	Header []HeaderField `cbor:"header"`
 	Body   []byte        `cbor:"body"`
-	// TimeoutMS is the rest of the caller's deadline in milliseconds.
+	// TimeoutMS is the time until the caller's deadline in milliseconds.
 	TimeoutMS int64 `cbor:"timeout_ms"`
 	// RequestID is the id under which the first gateway logs the request.
 	RequestID string `cbor:"request_id"`
@@ -109,49 +111,51 @@
 	Error *errkind.Error `cbor:"error,omitempty"`
 }
 
-// FetchRecords asks for records of the configuration stream from an offset.
+// FetchRecords asks for at most Limit records of the configuration stream from offset From on.
 type FetchRecords struct {
 	From  uint64 `cbor:"from"`
 	Limit int    `cbor:"limit"`
 }
 
-// FetchRecordsResponse holds retained records in offset order. Oldest is the first offset that the peer holds.
+// FetchRecordsResponse holds records in offset order. Oldest is the first offset that the peer retains.
 type FetchRecordsResponse struct {
 	Oldest  uint64         `cbor:"oldest"`
 	Next    uint64         `cbor:"next"`
 	Records []infra.Record `cbor:"records"`
 }
 
-// FetchState asks for the folded configuration.
+// FetchState asks for the configuration state, which is the result of applying all records.
 type FetchState struct{}
 
-// FetchStateResponse holds the folded configuration, encoded by package configlog; State is empty if there is none.
+// FetchStateResponse holds the configuration state, encoded by package configlog. State is empty if there is none.
 type FetchStateResponse struct {
 	State []byte `cbor:"state"`
 }
 
-// JobQuery asks the scheduler of a failure domain about jobs. An empty ID lists.
+// JobQuery asks the scheduler of a failure domain for one job, or with an empty ID for all jobs that match Account and
+// State.
 type JobQuery struct {
 	ID      string `cbor:"id,omitempty"`
 	Account string `cbor:"account,omitempty"`
 	State   string `cbor:"state,omitempty"`
-	// Wake tells the scheduler that a record was appended to its job stream.
+	// Wake notifies the scheduler that a record was appended to its job stream.
 	Wake bool `cbor:"wake,omitempty"`
 }
 
 // JobQueryResponse holds the matching jobs.
 type JobQueryResponse struct {
-	// Active reports whether the answering scheduler holds the lease; a standby's answer may be stale.
+	// Active reports whether the responding scheduler holds the lease; the response of a standby may be stale.
 	Active bool          `cbor:"active"`
 	Jobs   []jobs.Status `cbor:"jobs"`
 }
 
-// Handler answers requests of peers. It is called on one goroutine for each exchange.
+// Handler handles requests of peers. Handle is called on a goroutine of its own for each request.
 type Handler interface {
 	Handle(ctx context.Context, from Member, req *Request) (*Response, error)
 }
 
-// Caller sends a request to the peer at address. After an error the peer may or may not have handled the request.
+// Caller sends a request to the peer at address (host:port). After an error the peer may or may not have handled the
+// request.
 type Caller interface {
 	Call(ctx context.Context, address string, req *Request) (*Response, error)
 }
--- a/inner/meter.go
+++ b/inner/meter.go
@@ -8,7 +8,7 @@
 	"go.opentelemetry.io/otel/propagation"
 )
 
-// kind names the message for metrics and logs.
+// kind returns the name of the message kind for metrics.
 func (r *Request) kind() string {
 	switch {
 	case r.Heartbeat != nil:
@@ -25,10 +25,10 @@
 	return "empty"
 }
 
-// meter counts messages and bytes by message kind.
+// meter counts the messages and bytes of a client or server by message kind.
 type meter struct{ prefix string }
 
-func newMeter(end string) *meter { return &meter{prefix: "inner." + end} }
+func newMeter(side string) *meter { return &meter{prefix: "inner." + side} }
 
 func (m *meter) sent(kind string, bytes int) {
 	metrics.GetOrRegisterCounter(m.prefix+".sent_messages."+kind, nil).Inc(1)
@@ -39,7 +39,7 @@
 	metrics.GetOrRegisterCounter(m.prefix+".received_bytes."+kind, nil).Inc(int64(bytes))
 }
 
-// injectTrace returns the W3C trace context of ctx, nil if there is none.
+// injectTrace returns the W3C trace context of ctx, or nil if there is none.
 func injectTrace(ctx context.Context) map[string]string {
 	carrier := propagation.MapCarrier{}
 	otel.GetTextMapPropagator().Inject(ctx, carrier)
@@ -50,9 +50,9 @@
 }
 
 // extractTrace returns ctx with the W3C trace context of a message.
-func extractTrace(ctx context.Context, carried map[string]string) context.Context {
-	if len(carried) == 0 {
+func extractTrace(ctx context.Context, traceContext map[string]string) context.Context {
+	if len(traceContext) == 0 {
 		return ctx
 	}
-	return otel.GetTextMapPropagator().Extract(ctx, propagation.MapCarrier(carried))
+	return otel.GetTextMapPropagator().Extract(ctx, propagation.MapCarrier(traceContext))
 }
--- a/inner/server.go
+++ b/inner/server.go
@@ -13,54 +13,54 @@
 
 // Connection limits of the inner protocol.
 const (
-	// keepAliveInterval finds a connection that went silent within maxIdle.
+	// keepAliveInterval keeps an idle connection open; a dead one is detected within maxIdleTimeout.
 	keepAliveInterval = 2 * time.Second
-	maxIdle           = 6 * time.Second
+	maxIdleTimeout    = 6 * time.Second
 	handshakeTimeout  = 2 * time.Second
-	// maxStreams bounds the exchanges that one peer runs at once on a connection.
+	// maxStreams bounds the concurrent requests of a peer on one connection.
 	maxStreams = 512
-	// readTimeout bounds the time in which a peer must send its request.
-	readTimeout = 10 * time.Second
+	// requestReadTimeout bounds the time a peer may take to send its request.
+	requestReadTimeout = 10 * time.Second
 )
 
-// quicConfig returns the QUIC parameters of both ends.
+// quicConfig returns the QUIC parameters that client and server use.
 func quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout: handshakeTimeout,
-		MaxIdleTimeout:       maxIdle,
+		MaxIdleTimeout:       maxIdleTimeout,
 		KeepAlivePeriod:      keepAliveInterval,
 		MaxIncomingStreams:   maxStreams,
 	}
 }
 
-// Server answers requests of peers on one UDP address.
+// Server serves requests of peers on one UDP address.
 type Server struct {
-	listener *quic.Listener
-	packets  net.PacketConn
-	handler  Handler
-	meter    *meter
-	exchange sync.WaitGroup
+	listener   *quic.Listener
+	packetConn net.PacketConn
+	handler    Handler
+	meter      *meter
+	exchanges  sync.WaitGroup
 }
 
-// Listen opens address (host:port, UDP) with the keys of the store. It returns an Unavailable error if the address
-// cannot be opened.
+// Listen opens address (host:port, UDP) and authenticates with the keys of the store. It returns an Unavailable error
+// if the address cannot be opened.
 func Listen(address string, keys *KeyStore, handler Handler) (*Server, error) {
-	packets, err := net.ListenPacket("udp", address)
+	packetConn, err := net.ListenPacket("udp", address)
 	if err != nil {
 		return nil, errkind.Wrap(err, errkind.Unavailable, "check listen.inner in the settings", "open %s", address)
 	}
-	listener, err := quic.Listen(packets, keys.serverConfig(), quicConfig())
+	listener, err := quic.Listen(packetConn, keys.serverConfig(), quicConfig())
 	if err != nil {
-		packets.Close()
+		packetConn.Close()
 		return nil, errkind.Wrap(err, errkind.Unavailable, "check listen.inner in the settings", "listen on %s", address)
 	}
-	return &Server{listener: listener, packets: packets, handler: handler, meter: newMeter("server")}, nil
+	return &Server{listener: listener, packetConn: packetConn, handler: handler, meter: newMeter("server")}, nil
 }
 
 // Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve accepts connections until Close. It returns nil after Close.
+// Serve accepts connections until ctx ends or Close is called, and then returns nil.
 func (s *Server) Serve(ctx context.Context) error {
 	for {
 		conn, err := s.listener.Accept(ctx)
@@ -71,11 +71,11 @@
 	}
 }
 
-// Close waits for the exchanges under way until ctx ends, then closes all connections.
+// Close waits for the requests in progress until ctx ends, then closes all connections.
 func (s *Server) Close(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		s.exchange.Wait()
+		s.exchanges.Wait()
 		close(done)
 	}()
 	select {
@@ -83,27 +83,27 @@
 	case <-ctx.Done():
 	}
 	s.listener.Close()
-	s.packets.Close()
+	s.packetConn.Close()
 }
 
 func (s *Server) serveConn(conn *quic.Conn) {
-	wire.add(conn)
-	from := peerOf(conn)
+	connTraffic.add(conn)
+	from := peerMember(conn)
 	for {
 		stream, err := conn.AcceptStream(conn.Context())
 		if err != nil {
 			return
 		}
-		s.exchange.Add(1)
+		s.exchanges.Add(1)
 		go func() {
-			defer s.exchange.Done()
+			defer s.exchanges.Done()
 			s.serveStream(conn.Context(), from, stream)
 		}()
 	}
 }
 
-// peerOf returns the member named by the certificate of the peer: only VM is set, from the subject's common name.
-func peerOf(conn *quic.Conn) Member {
+// peerMember returns the member that the peer's certificate names. Only VM is set, from the common name of the subject.
+func peerMember(conn *quic.Conn) Member {
 	chain := conn.ConnectionState().TLS.PeerCertificates
 	if len(chain) == 0 {
 		return Member{}
@@ -113,7 +113,7 @@
 
 func (s *Server) serveStream(ctx context.Context, from Member, stream *quic.Stream) {
 	defer stream.Close()
-	stream.SetReadDeadline(time.Now().Add(readTimeout))
+	stream.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	var req Request
 	received, err := readFrame(stream, &req)
 	if err != nil {
--- a/inner/traffic.go
+++ b/inner/traffic.go
@@ -8,19 +8,20 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// wire sums the bytes of all QUIC connections of the process, keep-alive and acknowledgements included.
-var wire = newTraffic()
+// connTraffic counts the bytes of all QUIC connections of the process, including keep-alive packets and
+// acknowledgements.
+var connTraffic = newTrafficCounter()
 
-// traffic counts the bytes of connections.
-type traffic struct {
+// trafficCounter counts the bytes of QUIC connections and exports the totals as metrics.
+type trafficCounter struct {
 	mu sync.Mutex
-	// live holds the open connections, sent and received sum the closed ones; all are guarded by mu.
-	live           map[*quic.Conn]struct{}
+	// open holds the open connections; sent and received are the byte totals of the closed ones. All are guarded by mu.
+	open           map[*quic.Conn]struct{}
 	sent, received uint64
 }
 
-func newTraffic() *traffic {
-	t := &traffic{live: make(map[*quic.Conn]struct{})}
+func newTrafficCounter() *trafficCounter {
+	t := &trafficCounter{open: make(map[*quic.Conn]struct{})}
 	gauge := func(name string, read func() int64) {
 		metrics.GetOrRegister(name, metrics.NewFunctionalGauge(read))
 	}
@@ -29,26 +30,27 @@
 	return t
 }
 
-// add counts conn until it closes, and what it had transferred from then on.
-func (t *traffic) add(conn *quic.Conn) {
+// add includes conn in the totals. When conn closes, its final byte counts are added to sent and received.
+func (t *trafficCounter) add(conn *quic.Conn) {
 	t.mu.Lock()
-	t.live[conn] = struct{}{}
+	t.open[conn] = struct{}{}
 	t.mu.Unlock()
 	context.AfterFunc(conn.Context(), func() {
 		stats := conn.ConnectionStats()
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		delete(t.live, conn)
+		delete(t.open, conn)
 		t.sent += stats.BytesSent
 		t.received += stats.BytesReceived
 	})
 }
 
-func (t *traffic) totals() (sent, received int64) {
+// totals returns the bytes of all connections, open and closed.
+func (t *trafficCounter) totals() (sent, received int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sent, received = int64(t.sent), int64(t.received)
-	for conn := range t.live {
+	for conn := range t.open {
 		stats := conn.ConnectionStats()
 		sent += int64(stats.BytesSent)
 		received += int64(stats.BytesReceived)
