--- a/infra/client.go
+++ b/infra/client.go
@@ -21,35 +21,36 @@
 
 // Limits of the HTTP clients.
 const (
-	// maxResponseBytes bounds a response body; a full read of 256 records of 256 KB in base64 stays below.
+	// maxResponseBytes bounds a response body. A read of 256 records of 256 KB, encoded in base64, is smaller.
 	maxResponseBytes = 96 << 20
-	// dialTimeout bounds the start of a connection.
+	// dialTimeout bounds the TCP connect, and the TLS handshake separately.
 	dialTimeout = 2 * time.Second
-	// idleTimeout closes unused connections before a middle box forgets them.
+	// idleTimeout closes unused connections before a middlebox drops its state for them.
 	idleTimeout = 30 * time.Second
 	// maxConnections bounds the connections to one service.
 	maxConnections = 16
 )
 
-// tracer makes the spans of this package; they are dropped unless the daemon installs an exporter.
+// tracer creates the spans of this package. They are dropped unless the daemon installs an exporter.
 var tracer = otel.Tracer("github.com/redwingthread/redwingthread/infra")
 
-// service calls one of the platform's HTTP services.
+// service sends requests to one of the platform's HTTP services.
 type service struct {
 	name      string
 	sling     *sling.Sling
 	transport *http.Transport
 }
 
-// newService returns a caller of the service at baseURL, for example "http://10.0.0.1:7000". Its bytes are counted as
-// infra.METRICNAME.bytes_sent and infra.METRICNAME.bytes_received.
+// newService returns a client of the service at baseURL, for example "http://10.0.0.1:7000". It counts the bytes on its
+// connections as platform.METRICNAME.bytes_sent and platform.METRICNAME.bytes_received. An unusable URL is a BadInput
+// error.
 func newService(name, metricName, baseURL string) (*service, error) {
 	parsed, err := url.Parse(baseURL)
 	if err != nil || parsed.Scheme != "http" && parsed.Scheme != "https" || parsed.Host == "" {
 		return nil, errkind.New(errkind.BadInput, "give a URL like http://10.0.0.1:7000", "%s has unusable URL %q", name, baseURL)
 	}
 	transport := &http.Transport{
-		DialContext:         countedDial("platform."+metricName, dialTimeout, nil),
+		DialContext:         countingDial("platform."+metricName, dialTimeout, nil),
 		TLSHandshakeTimeout: dialTimeout,
 		IdleConnTimeout:     idleTimeout,
 		MaxConnsPerHost:     maxConnections,
@@ -60,7 +61,7 @@
 	return &service{name: name, sling: base, transport: transport}, nil
 }
 
-// boundedTransport cuts response bodies off at maxResponseBytes.
+// boundedTransport truncates response bodies to maxResponseBytes.
 type boundedTransport struct{ next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
@@ -76,43 +77,43 @@
 	return resp, nil
 }
 
-// errNotModified reports the answer to a conditional request whose content did not change.
+// errNotModified reports that the content which a conditional request asks for has not changed.
 var errNotModified = errors.New("content has not changed")
 
-// call sends the request that s describes and decodes a 2xx response into success.
-func (s *service) call(ctx context.Context, request *sling.Sling, success any) error {
-	_, err := s.callHeader(ctx, request, success)
+// do sends request and decodes a 2xx response into success.
+func (s *service) do(ctx context.Context, request *sling.Sling, success any) error {
+	_, err := s.doWithHeader(ctx, request, success)
 	return err
 }
 
-// callHeader is call that also returns the header of a 2xx response.
-func (s *service) callHeader(ctx context.Context, request *sling.Sling, success any) (http.Header, error) {
+// doWithHeader is like do and also returns the header of a 2xx response.
+func (s *service) doWithHeader(ctx context.Context, request *sling.Sling, success any) (http.Header, error) {
 	req, err := request.Request()
 	if err != nil {
-		return nil, errkind.Wrap(err, errkind.BadInput, "correct the request", "request to %s cannot be built", s.name)
+		return nil, errkind.Wrap(err, errkind.BadInput, "correct the request", "build a request to %s", s.name)
 	}
 	ctx, span := tracer.Start(ctx, s.name, trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
-	var failure errkind.Error
-	resp, err := request.Do(req.WithContext(ctx), success, &failure)
+	var errorBody errkind.Error
+	resp, err := request.Do(req.WithContext(ctx), success, &errorBody)
 	if resp != nil && resp.StatusCode == http.StatusNotModified {
 		return nil, errNotModified
 	}
 	if resp != nil && resp.StatusCode/100 != 2 {
-		return nil, s.refused(resp.StatusCode, failure)
+		return nil, s.statusError(resp.StatusCode, errorBody)
 	}
 	if err != nil {
-		// A connection that went silent must not serve the next call.
+		// An unresponsive connection must not be reused for the next request.
 		s.transport.CloseIdleConnections()
-		return nil, errkind.Wrap(err, errkind.Unavailable, "the call is tried again; check that the service is reachable",
-			"%s does not respond", s.name)
+		return nil, errkind.Wrap(err, errkind.Unavailable, "the request is retried; check that the service is reachable",
+			"%s did not respond", s.name)
 	}
 	return resp.Header, nil
 }
 
-// refused turns an error status into a typed error.
-func (s *service) refused(status int, failure errkind.Error) error {
+// statusError converts an error status, with the decoded error body, into a typed error.
+func (s *service) statusError(status int, errorBody errkind.Error) error {
 	kind := errkind.Unavailable
 	switch status {
 	case http.StatusBadRequest:
@@ -124,17 +125,17 @@
 	case http.StatusTooManyRequests:
 		kind = errkind.Overloaded
 	}
-	remedy := failure.Remedy
+	remedy := errorBody.Remedy
 	if remedy == "" {
 		remedy = "check the service and try again"
 	}
-	return errkind.New(kind, remedy, "%s answered with status %d: %s", s.name, status, failure.Message)
+	return errkind.New(kind, remedy, "%s responded with status %d: %s", s.name, status, errorBody.Message)
 }
 
-// LogClient is a Log over HTTP.
+// LogClient implements Log over HTTP.
 type LogClient struct{ service *service }
 
-// NewLogClient returns a client of the log service at baseURL.
+// NewLogClient returns a client of the log service at baseURL. An unusable URL is a BadInput error.
 func NewLogClient(baseURL string) (*LogClient, error) {
 	s, err := newService("log service", "log", baseURL)
 	if err != nil {
@@ -151,22 +152,22 @@
 func (c *LogClient) Append(ctx context.Context, stream string, records [][]byte) (uint64, error) {
 	var resp AppendResponse
 	request := c.service.sling.New().Post(streamPath(stream)).BodyJSON(AppendRequest{Records: records})
-	err := c.service.call(ctx, request, &resp)
+	err := c.service.do(ctx, request, &resp)
 	return resp.FirstOffset, err
 }
 
-// readQuery is the query of a read.
+// readQuery holds the query parameters of a read.
 type readQuery struct {
 	From   uint64 `url:"from"`
 	Limit  int    `url:"limit"`
 	WaitMS int    `url:"wait_ms"`
 }
 
-// Read implements Log. It refuses a response whose records are not contiguous.
+// Read implements Log. It rejects a response whose records are not contiguous.
 func (c *LogClient) Read(ctx context.Context, stream string, from uint64, limit, waitMS int) (ReadResponse, error) {
 	var resp ReadResponse
 	request := c.service.sling.New().Get(streamPath(stream)).QueryStruct(readQuery{from, limit, waitMS})
-	if err := c.service.call(ctx, request, &resp); err != nil {
+	if err := c.service.do(ctx, request, &resp); err != nil {
 		return ReadResponse{}, err
 	}
 	if err := checkRead(from, resp); err != nil {
@@ -175,36 +176,36 @@
 	return resp, nil
 }
 
-// checkRead guards against a response that belongs to another read or was cut off.
+// checkRead detects a response that belongs to another read or is inconsistent.
 func checkRead(from uint64, resp ReadResponse) error {
 	expected := max(from, resp.Oldest)
 	for _, r := range resp.Records {
 		if r.Offset != expected || r.Offset >= resp.Next {
-			return errkind.New(errkind.Unavailable, "the read is tried again",
-				"log answered with record %d where %d was due, next %d", r.Offset, expected, resp.Next)
+			return errkind.New(errkind.Unavailable, "the read is retried",
+				"log returned record %d instead of %d, next %d", r.Offset, expected, resp.Next)
 		}
 		expected++
 	}
 	if resp.Oldest > resp.Next {
-		return errkind.New(errkind.Unavailable, "the read is tried again", "log answered with oldest %d above next %d", resp.Oldest, resp.Next)
+		return errkind.New(errkind.Unavailable, "the read is retried", "log returned oldest offset %d above next offset %d", resp.Oldest, resp.Next)
 	}
 	return nil
 }
 
-// VMListClient is a VMList over HTTP. It is safe for concurrent use.
+// VMListClient implements VMList over HTTP. It is safe for concurrent use.
 //
-// The list names every VM of the platform and seldom changes, so a read asks only for a list with another entity tag
-// (RFC 9110). A service that sends no tag is read whole each time.
+// The list contains every VM of the platform and changes rarely, so a read is conditional on the entity tag (RFC 9110)
+// of the last list. A service that sends no tag transfers the full list on each read.
 type VMListClient struct {
 	service *service
 
 	mu sync.Mutex
-	// tag is the entity tag of vms, empty if there is none; both are guarded by mu.
+	// tag is the entity tag of vms; empty if there is none. Both are guarded by mu.
 	tag string
 	vms []VM
 }
 
-// NewVMListClient returns a client of the VM list at baseURL.
+// NewVMListClient returns a client of the VM list at baseURL. An unusable URL is a BadInput error.
 func NewVMListClient(baseURL string) (*VMListClient, error) {
 	s, err := newService("VM list", "vm_list", baseURL)
 	if err != nil {
@@ -213,7 +214,8 @@
 	return &VMListClient{service: s}, nil
 }
 
-// VMs implements VMList. Entries in an unknown state are left out. The list is not changed afterwards.
+// VMs implements VMList. It omits entries in an unknown state. The caller must not modify the list, which later calls
+// may return again.
 func (c *VMListClient) VMs(ctx context.Context) ([]VM, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -222,7 +224,7 @@
 		request.Set("If-None-Match", c.tag)
 	}
 	var resp VMListResponse
-	header, err := c.service.callHeader(ctx, request, &resp)
+	header, err := c.service.doWithHeader(ctx, request, &resp)
 	if errors.Is(err, errNotModified) {
 		return c.vms, nil
 	}
--- a/infra/client_test.go
+++ b/infra/client_test.go
@@ -12,15 +12,15 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-func serve(t *testing.T, handler http.HandlerFunc) string {
+func startServer(t *testing.T, handler http.HandlerFunc) string {
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return server.URL
 }
 
-// TestLogClient guards against requests that do not follow the log's contract.
-func TestLogClient(t *testing.T) {
-	url := serve(t, func(w http.ResponseWriter, r *http.Request) {
+// TestLogClientSendsDocumentedRequests guards against requests that deviate from the HTTP contract of the log service.
+func TestLogClientSendsDocumentedRequests(t *testing.T) {
+	url := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.String() {
 		case "POST /v1/streams/config/records":
 			var body AppendRequest
@@ -34,7 +34,7 @@
 			t.Errorf("request %s %s", r.Method, r.URL)
 		}
 	})
-	c := must(NewLogClient(url + "/"))
+	c := mustValue(NewLogClient(url + "/"))
 	offset, err := c.Append(t.Context(), "config", [][]byte{[]byte("one"), []byte("two")})
 	if err != nil || offset != 7 {
 		t.Errorf("append: %d %v", offset, err)
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestLogClientErrors guards against a faulty or missing response that is taken for a good one, and against an append that
-// is reported as certainly refused although it may have taken effect.
-func TestLogClientErrors(t *testing.T) {
+// TestLogClientReportsErrorKinds guards against a faulty or truncated response that is accepted, and against an error
+// kind that says that a request had no effect although it may have had one.
+func TestLogClientReportsErrorKinds(t *testing.T) {
 	cases := map[string]struct {
 		status int
 		body   string
@@ -65,11 +65,11 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			url := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+			url := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				fmt.Fprint(w, c.body)
 			})
-			client := must(NewLogClient(url))
+			client := mustValue(NewLogClient(url))
 			if _, err := client.Read(t.Context(), "config", 0, 10, 0); errkind.KindOf(err) != c.kind || errkind.As(err).Remedy == "" {
 				t.Errorf("got %v", err)
 			}
@@ -77,12 +77,12 @@
 	}
 }
 
-// TestSilentServer guards against a call without a time limit.
-func TestSilentServer(t *testing.T) {
+// TestAppendEndsWithItsContext guards against a request that hangs because the server does not respond.
+func TestAppendEndsWithItsContext(t *testing.T) {
 	release := make(chan struct{})
-	url := serve(t, func(http.ResponseWriter, *http.Request) { <-release })
+	url := startServer(t, func(http.ResponseWriter, *http.Request) { <-release })
 	defer close(release)
-	client := must(NewLogClient(url))
+	client := mustValue(NewLogClient(url))
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := client.Append(ctx, "config", [][]byte{nil}); !errkind.Is(err, errkind.Unavailable) {
@@ -90,15 +90,16 @@
 	}
 }
 
-// TestVMList guards against entries in an unknown state that are taken for live, and against an unusable URL.
-func TestVMList(t *testing.T) {
-	url := serve(t, func(w http.ResponseWriter, r *http.Request) {
+// TestVMListOmitsUnknownStates guards against VMs in an unknown state that count as live, and against an unusable URL
+// that is accepted.
+func TestVMListOmitsUnknownStates(t *testing.T) {
+	url := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v1/vms" {
 			t.Errorf("path %s", r.URL.Path)
 		}
 		fmt.Fprint(w, `{"vms":[{"id":"a","role":"entry","state":"live"},{"id":"b","state":"leaving"},{"id":"c","state":"odd"}]}`)
 	})
-	c := must(NewVMListClient(url))
+	c := mustValue(NewVMListClient(url))
 	vms, err := c.VMs(t.Context())
 	if err != nil || len(vms) != 2 || vms[0].Role != RoleEntry || vms[1].State != VMLeaving {
 		t.Errorf("%+v %v", vms, err)
@@ -110,8 +111,8 @@
 	}
 }
 
-// must gives the value of a call that cannot fail unless the test is wrong.
-func must[T any](value T, err error) T {
+// mustValue returns value and panics if err is not nil.
+func mustValue[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
 	}
--- a/infra/vm.go
+++ b/infra/vm.go
@@ -18,7 +18,7 @@
 	RoleWorker   = "worker"
 )
 
-// VM is one entry of the platform's list, which lags and may go back and forth.
+// VM is one entry of the platform's list. The list lags and may revert to an older state.
 type VM struct {
 	ID            string  `json:"id" cbor:"id"`
 	FailureDomain string  `json:"failure_domain" cbor:"failure_domain"`
@@ -28,12 +28,13 @@
 	Address string `json:"address" cbor:"address"`
 }
 
-// VMListResponse is the answer to GET /v1/vms.
+// VMListResponse is the response to GET /v1/vms.
 type VMListResponse struct {
 	VMs []VM `json:"vms"`
 }
 
 // VMList reads the platform's list of VMs.
 type VMList interface {
+	// VMs returns the current list.
 	VMs(ctx context.Context) ([]VM, error)
 }
--- a/infra/workerclient.go
+++ b/infra/workerclient.go
@@ -15,19 +15,19 @@
 
 // Limits of the worker client.
 const (
-	// maxWorkerBody bounds the answer of a worker in bytes.
-	maxWorkerBody = 4 << 20
-	// workerDialTimeout bounds the connection set-up.
+	// maxWorkerResponseBytes bounds the response body of a worker.
+	maxWorkerResponseBytes = 4 << 20
+	// workerDialTimeout bounds the TCP connect.
 	workerDialTimeout = time.Second
-	// workerIdle is longer than the renewal intervals, so that each worker needs one connection.
-	workerIdle = 30 * time.Second
-	// workerBuffer is the size of each connection's read and write buffer in bytes. Requests and answers are small,
-	// and there is a connection to each worker of the failure domain.
-	workerBuffer = 2 << 10
+	// workerIdleTimeout is longer than the renewal intervals, so that each worker needs only one connection.
+	workerIdleTimeout = 30 * time.Second
+	// workerBufferBytes is the size of each connection's read buffer and of its write buffer. It is small because
+	// messages are small and there is a connection to each worker of the failure domain.
+	workerBufferBytes = 2 << 10
 )
 
-// HTTPWorkers is the WorkerClient over HTTP/JSON. It is safe for concurrent use. The caller bounds each request with
-// its context; the connection of a request that ends without an answer is closed and not used again.
+// HTTPWorkers implements WorkerClient over HTTP/JSON. It is safe for concurrent use. The caller bounds each request
+// with its context; the connection of a request that ends without a response is closed and not reused.
 type HTTPWorkers struct {
 	client *http.Client
 }
@@ -39,12 +39,12 @@
 		registry = metrics.DefaultRegistry
 	}
 	transport := &http.Transport{
-		DialContext:         countedDial("control.worker", workerDialTimeout, registry),
+		DialContext:         countingDial("control.worker", workerDialTimeout, registry),
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 1,
-		IdleConnTimeout:     workerIdle,
-		ReadBufferSize:      workerBuffer,
-		WriteBufferSize:     workerBuffer,
+		IdleConnTimeout:     workerIdleTimeout,
+		ReadBufferSize:      workerBufferBytes,
+		WriteBufferSize:     workerBufferBytes,
 	}
 	// A redirect would send commands to a process that is not the worker.
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
@@ -54,26 +54,26 @@
 // Close closes the idle connections.
 func (h *HTTPWorkers) Close() { h.client.CloseIdleConnections() }
 
-// Commands sends req to the worker at address. After an error of kind Unavailable or Unknown the commands may have been
+// Commands implements WorkerClient. After an error of kind Unavailable, Unknown or TooLarge the commands may have been
 // applied.
 func (h *HTTPWorkers) Commands(ctx context.Context, address string, req CommandsRequest) (CommandsResponse, error) {
-	var answer CommandsResponse
+	var response CommandsResponse
 	request, err := sling.New().Base("http://" + address).Post("/v1/commands").BodyJSON(req).Request()
 	if err != nil {
-		return answer, errkind.Wrap(err, errkind.BadInput, "check the worker's address in the configuration",
+		return response, errkind.Wrap(err, errkind.BadInput, "check the worker's address in the configuration",
 			"build a request to worker %s", address)
 	}
-	if err := h.do(ctx, request, &answer); err != nil {
+	if err := h.do(ctx, request, &response); err != nil {
 		return CommandsResponse{}, err
 	}
-	if answer.Granted && len(answer.Results) != len(req.Commands) {
+	if response.Granted && len(response.Results) != len(req.Commands) {
 		return CommandsResponse{}, errkind.New(errkind.Unknown, "check the worker's version",
-			"worker %s answered %d of %d commands", address, len(answer.Results), len(req.Commands))
+			"worker %s returned %d results for %d commands", address, len(response.Results), len(req.Commands))
 	}
-	return answer, nil
+	return response, nil
 }
 
-// Inventory reads the inventory without a lease.
+// Inventory implements WorkerClient.
 func (h *HTTPWorkers) Inventory(ctx context.Context, address string) (Inventory, error) {
 	var inventory Inventory
 	request, err := sling.New().Base("http://" + address).Get("/v1/inventory").Request()
@@ -87,29 +87,30 @@
 	return inventory, nil
 }
 
-func (h *HTTPWorkers) do(ctx context.Context, request *http.Request, answer any) error {
-	// An empty User-Agent leaves the header out: at 60 requests per second every header counts.
+// do sends request and decodes the JSON body of a successful response into target.
+func (h *HTTPWorkers) do(ctx context.Context, request *http.Request, target any) error {
+	// An empty value omits the User-Agent header, which would add up at 60 requests per second.
 	request.Header.Set("User-Agent", "")
 	response, err := h.client.Do(request.WithContext(ctx))
 	if err != nil {
 		return errkind.Wrap(err, errkind.Unavailable, "check the worker and its network",
-			"worker %s did not answer", request.URL.Host)
+			"worker %s did not respond", request.URL.Host)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxWorkerBody+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxWorkerResponseBytes+1))
 	if err != nil {
-		return errkind.Wrap(err, errkind.Unknown, "repeat the commands", "read the answer of worker %s", request.URL.Host)
+		return errkind.Wrap(err, errkind.Unknown, "repeat the commands", "read the response of worker %s", request.URL.Host)
 	}
 	if response.StatusCode != http.StatusOK {
-		return errkind.New(errkind.Unavailable, "check the worker's log", "worker %s answered status %d",
+		return errkind.New(errkind.Unavailable, "check the worker's log", "worker %s responded with status %d",
 			request.URL.Host, response.StatusCode)
 	}
-	if len(body) > maxWorkerBody {
-		return errkind.New(errkind.TooLarge, "check the worker's inventory", "the answer of worker %s exceeds %d bytes",
-			request.URL.Host, maxWorkerBody)
+	if len(body) > maxWorkerResponseBytes {
+		return errkind.New(errkind.TooLarge, "check the worker's inventory", "response of worker %s exceeds %d bytes",
+			request.URL.Host, maxWorkerResponseBytes)
 	}
-	if err := json.Unmarshal(body, answer); err != nil {
-		return errkind.Wrap(err, errkind.Unknown, "check the worker's version", "decode the answer of worker %s",
+	if err := json.Unmarshal(body, target); err != nil {
+		return errkind.Wrap(err, errkind.Unknown, "check the worker's version", "decode the response of worker %s",
 			request.URL.Host)
 	}
 	return nil
--- a/infra/workerclient_test.go
+++ b/infra/workerclient_test.go
@@ -14,8 +14,8 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// TestWorkerClientRefusesBadAnswers guards against an answer that is taken for the result of other commands.
-func TestWorkerClientRefusesBadAnswers(t *testing.T) {
+// TestWorkerClientRejectsBadResponses guards against a faulty response that is accepted as the result of the commands.
+func TestWorkerClientRejectsBadResponses(t *testing.T) {
 	cases := map[string]struct {
 		status int
 		body   string
@@ -26,7 +26,7 @@
 		"malformed":          {200, `{"granted":`, errkind.Unknown},
 		"status of an error": {500, `{"granted":true,"results":[{"ok":true}]}`, errkind.Unavailable},
 		"redirect":           {307, ``, errkind.Unavailable},
-		"oversize":           {200, strings.Repeat(" ", maxWorkerBody+1), errkind.TooLarge},
+		"oversize":           {200, strings.Repeat(" ", maxWorkerResponseBytes+1), errkind.TooLarge},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -47,18 +47,19 @@
 	}
 }
 
-// TestWorkerClientLeavesSilentConnection guards against a connection that went silent and is used for the next request.
-func TestWorkerClientLeavesSilentConnection(t *testing.T) {
-	var calls atomic.Int32
-	silent := make(chan struct{})
+// TestWorkerClientDropsUnresponsiveConnection guards against the reuse of a connection on which a request was not
+// responded to.
+func TestWorkerClientDropsUnresponsiveConnection(t *testing.T) {
+	var requests atomic.Int32
+	unresponsive := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if calls.Add(1) == 2 {
-			<-silent
+		if requests.Add(1) == 2 {
+			<-unresponsive
 		}
 		_, _ = w.Write([]byte(`{"granted":true}`))
 	}))
 	defer server.Close()
-	defer close(silent)
+	defer close(unresponsive)
 	registry := metrics.NewRegistry()
 	client := NewHTTPWorkers(registry)
 	defer client.Close()
