--- a/httpconn/conn.go
+++ b/httpconn/conn.go
@@ -1,8 +1,8 @@
-// Package httpconn carries HTTP/1.1 calls over connections whose reuse the caller can see.
+// Package httpconn sends HTTP/1.1 requests over connections whose reuse is visible to the caller.
 //
-// net/http's Transport repeats a request on a fresh connection by itself and hides which connection carried it. Orders
-// to workers and appends to the store must be sent once per attempt, and the first call on a new connection has to be
-// treated differently from a later one, so a Conn is one TCP connection with one call at a time.
+// The Transport of net/http may resend a request on a new connection and does not show which connection was used.
+// Commands to workers and appends to the store must be sent once per attempt, and the first request on a new connection
+// is treated differently from later ones. A Conn is therefore one TCP connection that carries one request at a time.
 package httpconn
 
 import (
@@ -22,54 +22,58 @@
 )
 
 const (
-	// DialTimeout bounds the opening of a connection; an address behind a partition does not answer.
+	// DialTimeout bounds the TCP connect: an address behind a network partition does not respond.
 	DialTimeout = 700 * time.Millisecond
-	// keepAlive is the interval of probes on idle connections.
-	keepAlive = 2 * time.Second
-	// unackedBound closes a connection whose sent bytes stay unacknowledged.
-	unackedBound = 2500 * time.Millisecond
-	// maxBody bounds a response body in bytes.
-	maxBody = 8 << 20
-	// readBuffer is the size in bytes of a connection's read buffer; most responses fit.
-	readBuffer = 4 << 10
+	// keepAliveInterval is the interval of TCP keep-alive probes on an idle connection.
+	keepAliveInterval = 2 * time.Second
+	// unackedTimeout is the time after which a connection with unacknowledged sent data is closed.
+	unackedTimeout = 2500 * time.Millisecond
+	// maxResponseBytes bounds a response body; the rest is cut off.
+	maxResponseBytes = 8 << 20
+	// readBufferBytes is the size of a connection's read buffer; most responses fit in it.
+	readBufferBytes = 4 << 10
 )
 
-// ErrNotSent marks a call of which no byte can have reached the peer.
-var ErrNotSent = errors.New("httpconn: call was not sent")
+// ErrNotSent marks a request of which no byte can have reached the peer.
+var ErrNotSent = errors.New("httpconn: request was not sent")
 
-// Request is one call.
+// Request is an HTTP request.
 type Request struct {
 	Method string
-	// Target is the path with its query.
+	// Target is the path with the query.
 	Target string
 	Header http.Header
 	Body   []byte
-	// ContentType of Body; empty for none.
+	// ContentType is the Content-Type of Body; if empty, the header is not sent.
 	ContentType string
 }
 
-// Response is a complete answer.
+// Response is an HTTP response with its body.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Dials counts the connections opened by this process.
-var Dials atomic.Int64
+// DialCount counts the connections that this process has opened.
+var DialCount atomic.Int64
 
-// Conn is one connection to Address. It is not safe for concurrent use.
+// Conn is a connection to Address, which Do opens as needed. It is not safe for concurrent use.
 type Conn struct {
+	// Address is the host:port of the peer.
 	Address string
-	conn    net.Conn
-	reader  *bufio.Reader
-	calls   int
+	// conn is nil while the connection is closed.
+	conn   net.Conn
+	reader *bufio.Reader
+	// responses counts the complete responses on conn.
+	responses int
 }
 
-// Open reports whether the connection has carried a complete call and can carry another one.
-func (c *Conn) Open() bool { return c.conn != nil && c.calls > 0 }
+// Open reports whether the connection is open and has delivered at least one complete response, so that another request
+// can reuse it.
+func (c *Conn) Open() bool { return c.conn != nil && c.responses > 0 }
 
-// Close closes the connection; the next call opens a new one.
+// Close closes the connection; the next Do opens a new one.
 func (c *Conn) Close() {
 	if c.conn == nil {
 		return
@@ -77,11 +81,11 @@
 	_ = c.conn.Close()
 	c.conn = nil
 	c.reader = nil
-	c.calls = 0
+	c.responses = 0
 }
 
-// Do sends the request and reads the whole response within timeout. Any error closes the connection. An error that
-// matches ErrNotSent means that the peer has not seen the request.
+// Do sends the request and reads the complete response within timeout. Any error closes the connection. An error that
+// matches ErrNotSent means that the peer has received no part of the request.
 func (c *Conn) Do(ctx context.Context, r Request, timeout time.Duration) (*Response, error) {
 	deadline := time.Now().Add(timeout)
 	if err := c.connect(ctx, deadline); err != nil {
@@ -90,45 +94,47 @@
 	stop := context.AfterFunc(ctx, c.interrupt(c.conn))
 	defer stop()
 	_ = c.conn.SetDeadline(deadline)
-	if _, err := c.conn.Write(c.encode(r)); err != nil {
+	if _, err := c.conn.Write(c.encodeRequest(r)); err != nil {
 		c.Close()
 		return nil, err
 	}
-	response, err := c.read(r.Method)
+	response, err := c.readResponse(r.Method)
 	if err != nil {
 		c.Close()
 		return nil, err
 	}
-	c.calls++
+	c.responses++
 	return response, nil
 }
 
-// interrupt ends a pending read or write when the context of the call ends.
+// interrupt returns a function that makes pending reads and writes on conn fail.
 func (c *Conn) interrupt(conn net.Conn) func() {
 	return func() { _ = conn.SetDeadline(time.Unix(1, 0)) }
 }
 
+// connect dials Address unless the connection is open.
 func (c *Conn) connect(ctx context.Context, deadline time.Time) error {
 	if c.conn != nil {
 		return nil
 	}
 	dialer := net.Dialer{
 		Timeout:   min(DialTimeout, time.Until(deadline)),
-		Control:   tcpopt.UserTimeout(unackedBound),
-		KeepAlive: keepAlive,
+		Control:   tcpopt.UserTimeout(unackedTimeout),
+		KeepAlive: keepAliveInterval,
 	}
 	conn, err := dialer.DialContext(ctx, "tcp", c.Address)
 	if err != nil {
 		return err
 	}
-	Dials.Add(1)
+	DialCount.Add(1)
 	c.conn = conn
-	c.reader = bufio.NewReaderSize(conn, readBuffer)
-	c.calls = 0
+	c.reader = bufio.NewReaderSize(conn, readBufferBytes)
+	c.responses = 0
 	return nil
 }
 
-func (c *Conn) encode(r Request) []byte {
+// encodeRequest returns the bytes of the request on the wire.
+func (c *Conn) encodeRequest(r Request) []byte {
 	var b bytes.Buffer
 	b.Grow(256 + len(r.Body))
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + c.Address + "\r\n")
@@ -144,36 +150,38 @@
 	return b.Bytes()
 }
 
-func (c *Conn) read(method string) (*Response, error) {
-	answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+// readResponse reads one response. If the peer asks for it, the connection is closed afterwards.
+func (c *Conn) readResponse(method string) (*Response, error) {
+	httpResponse, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBody))
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
-	if answer.Close {
+	if httpResponse.Close {
 		defer c.Close()
 	}
-	return &Response{Status: answer.StatusCode, Header: answer.Header, Body: body}, nil
+	return &Response{Status: httpResponse.StatusCode, Header: httpResponse.Header, Body: body}, nil
 }
 
-// maxIdle is how many idle connections a Pool keeps.
-const maxIdle = 4
+// maxIdleConns bounds the idle connections of a Pool.
+const maxIdleConns = 4
 
-// Pool lends connections to one address. It is safe for concurrent use.
+// Pool reuses connections to one address. It is safe for concurrent use.
 type Pool struct {
-	mu      sync.Mutex
-	address string
-	idle    []*Conn
+	mu sync.Mutex
+	// address and idleConns are guarded by mu.
+	address   string
+	idleConns []*Conn
 }
 
 // NewPool returns a pool of connections to address.
 func NewPool(address string) *Pool { return &Pool{address: address} }
 
-// SetAddress sends later calls to address.
+// SetAddress makes later requests go to address. If it is a new one, the idle connections are closed.
 func (p *Pool) SetAddress(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,52 +189,55 @@
 		return
 	}
 	p.address = address
-	p.closeIdleLocked()
+	p.closeIdleConnsLocked()
 }
 
-// Do carries one call on an idle or new connection. A call that fails, other than with its context, says that the other
-// connections may be silent as well.
+// Do sends one request on an idle or a new connection. Its errors are those of Conn.Do. If the request fails
+// before ctx ends, the idle connections are closed: they may no longer reach the peer either.
 func (p *Pool) Do(ctx context.Context, r Request, timeout time.Duration) (*Response, error) {
-	conn := p.take()
+	conn := p.acquire()
 	response, err := conn.Do(ctx, r, timeout)
-	p.give(conn)
+	p.release(conn)
 	if err != nil && ctx.Err() == nil {
-		p.closeIdle()
+		p.closeIdleConns()
 	}
 	return response, err
 }
 
-func (p *Pool) take() *Conn {
+// acquire removes an idle connection from the pool or returns a new one.
+func (p *Pool) acquire() *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n := len(p.idle); n > 0 {
-		conn := p.idle[n-1]
-		p.idle = p.idle[:n-1]
+	if n := len(p.idleConns); n > 0 {
+		conn := p.idleConns[n-1]
+		p.idleConns = p.idleConns[:n-1]
 		return conn
 	}
 	return &Conn{Address: p.address}
 }
 
-func (p *Pool) give(conn *Conn) {
+// release returns conn to the pool, or closes it if it cannot be reused or the pool is full.
+func (p *Pool) release(conn *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !conn.Open() || conn.Address != p.address || len(p.idle) >= maxIdle {
+	if !conn.Open() || conn.Address != p.address || len(p.idleConns) >= maxIdleConns {
 		conn.Close()
 		return
 	}
-	p.idle = append(p.idle, conn)
+	p.idleConns = append(p.idleConns, conn)
 }
 
-// closeIdle drops the idle connections.
-func (p *Pool) closeIdle() {
+// closeIdleConns closes the idle connections.
+func (p *Pool) closeIdleConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closeIdleLocked()
+	p.closeIdleConnsLocked()
 }
 
-func (p *Pool) closeIdleLocked() {
-	for _, conn := range p.idle {
+// closeIdleConnsLocked is closeIdleConns for callers that hold mu.
+func (p *Pool) closeIdleConnsLocked() {
+	for _, conn := range p.idleConns {
 		conn.Close()
 	}
-	p.idle = nil
+	p.idleConns = nil
 }
--- a/httpconn/conn_test.go
+++ b/httpconn/conn_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-func server(t *testing.T, handler http.HandlerFunc) string {
+func startServer(t *testing.T, handler http.HandlerFunc) string {
 	s := httptest.NewServer(handler)
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String()
@@ -22,13 +22,13 @@
 	return Request{Method: http.MethodPost, Target: path, Body: []byte("body"), ContentType: "text/plain"}
 }
 
-// TestCallIsSentOnce guards against a request that is sent again by itself after the peer has read it: net/http's Transport
-// does that on reused connections.
-func TestCallIsSentOnce(t *testing.T) {
-	var calls atomic.Int64
-	address := server(t, func(w http.ResponseWriter, r *http.Request) {
+// TestRequestIsSentOnce guards against a request that is resent automatically after the peer has read it, as the
+// Transport of net/http does on reused connections.
+func TestRequestIsSentOnce(t *testing.T) {
+	var requests atomic.Int64
+	address := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		if calls.Add(1) > 1 {
+		if requests.Add(1) > 1 {
 			conn, _, err := w.(http.Hijacker).Hijack()
 			if err != nil {
 				t.Error(err)
@@ -40,18 +40,19 @@
 	conn := &Conn{Address: address}
 	defer conn.Close()
 	if _, err := conn.Do(t.Context(), post("/a"), time.Second); err != nil || !conn.Open() {
-		t.Fatalf("first call: %v", err)
+		t.Fatalf("first request: %v", err)
 	}
 	if _, err := conn.Do(t.Context(), post("/b"), time.Second); err == nil || errors.Is(err, ErrNotSent) {
-		t.Fatalf("a call whose answer was cut off gave %v", err)
+		t.Fatalf("request without a response returned %v", err)
 	}
-	if calls.Load() != 2 || conn.Open() {
-		t.Fatalf("%d calls arrived, connection open: %v", calls.Load(), conn.Open())
+	if requests.Load() != 2 || conn.Open() {
+		t.Fatalf("%d requests arrived, connection open: %v", requests.Load(), conn.Open())
 	}
 }
 
-// TestNotSentIsCertain guards against a call that may have arrived and counts as not sent.
-func TestNotSentIsCertain(t *testing.T) {
+// TestErrNotSentOnlyIfNothingWasSent guards against a request that is reported as not sent although it may have
+// arrived.
+func TestErrNotSentOnlyIfNothingWasSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -59,42 +60,42 @@
 	address := listener.Addr().String()
 	conn := &Conn{Address: address}
 	if _, err := conn.Do(t.Context(), post("/"), 100*time.Millisecond); err == nil || errors.Is(err, ErrNotSent) {
-		t.Errorf("a silent peer gave %v", err)
+		t.Errorf("request to a peer that does not respond returned %v", err)
 	}
 	listener.Close()
 	if _, err := conn.Do(t.Context(), post("/"), 100*time.Millisecond); !errors.Is(err, ErrNotSent) {
-		t.Errorf("no listener gave %v", err)
+		t.Errorf("request to an address without listener returned %v", err)
 	}
 }
 
-// TestDeadlineAndContextEndACall guards against a caller that hangs on a connection that has gone silent.
-func TestDeadlineAndContextEndACall(t *testing.T) {
+// TestTimeoutAndContextEndARequest guards against a request that hangs because the peer does not respond.
+func TestTimeoutAndContextEndARequest(t *testing.T) {
 	release := make(chan struct{})
-	address := server(t, func(http.ResponseWriter, *http.Request) { <-release })
+	address := startServer(t, func(http.ResponseWriter, *http.Request) { <-release })
 	defer close(release)
 	conn := &Conn{Address: address}
 	startedAt := time.Now()
 	if _, err := conn.Do(t.Context(), post("/"), 100*time.Millisecond); err == nil {
-		t.Error("a call without an answer succeeded")
+		t.Error("request without a response succeeded")
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	if _, err := conn.Do(ctx, post("/"), 10*time.Second); err == nil {
-		t.Error("a call whose context has ended succeeded")
+		t.Error("request whose context has ended succeeded")
 	}
 	if took := time.Since(startedAt); took > 2*time.Second {
-		t.Errorf("both calls took %v", took)
+		t.Errorf("both requests took %v", took)
 	}
 }
 
-// TestPoolDropsOldConnectionsAfterAFailure guards against calls that go to one silent connection after the other, all of
-// them opened before the fault.
+// TestPoolDropsOldConnectionsAfterAFailure guards against requests that are sent on one dead connection after the
+// other, all of which were opened before the fault.
 func TestPoolDropsOldConnectionsAfterAFailure(t *testing.T) {
-	var silent atomic.Bool
-	address := server(t, func(_ http.ResponseWriter, r *http.Request) {
-		// The server notices a closed connection only after it has read the body.
+	var unresponsive atomic.Bool
+	address := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
+		// The HTTP server detects a closed connection only after the handler has read the body.
 		_, _ = io.Copy(io.Discard, r.Body)
-		if silent.Load() && r.URL.Path == "/hang" {
+		if unresponsive.Load() && r.URL.Path == "/hang" {
 			<-r.Context().Done()
 		}
 	})
@@ -104,15 +105,15 @@
 			t.Fatal(err)
 		}
 	}
-	silent.Store(true)
+	unresponsive.Store(true)
 	if _, err := pool.Do(t.Context(), post("/hang"), 50*time.Millisecond); err == nil {
-		t.Fatal("the hanging call succeeded")
+		t.Fatal("hanging request succeeded")
 	}
-	before := Dials.Load()
+	before := DialCount.Load()
 	if _, err := pool.Do(t.Context(), post("/"), time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if Dials.Load() == before {
-		t.Fatal("a connection from before the failure was used again")
+	if DialCount.Load() == before {
+		t.Fatal("connection from before the failure was reused")
 	}
 }
