--- a/telemetry/dependency.go
+++ b/telemetry/dependency.go
@@ -2,13 +2,14 @@
 
 import "github.com/rs/zerolog"
 
-// Dependency logs when calls to something that the process depends on begin to fail and when they work again. It is not
-// safe for concurrent use.
+// Dependency logs when requests to a service that the process depends on start to fail and when they succeed again. It
+// is not safe for concurrent use.
 type Dependency struct {
+	// failing reports whether the last request failed.
 	failing bool
 }
 
-// Note takes in the outcome of a call to the dependency of the given name.
+// Note records the outcome of a request to the dependency with the given name and logs a change.
 func (d *Dependency) Note(out zerolog.Logger, name string, err error) {
 	if (err != nil) == d.failing {
 		return
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -12,7 +12,7 @@
 	"github.com/redwingthread/redwingthread/invariant"
 )
 
-// Log field names that every package uses.
+// Names of log fields that all packages share.
 const (
 	FieldRequest       = "request"
 	FieldJob           = "job"
@@ -21,8 +21,8 @@
 	FieldTrace         = "trace"
 )
 
-// NewLogger returns a logger that writes JSON lines to w with the member's fields. level is a zerolog level name; an
-// unknown one gives a BadInput error.
+// NewLogger returns a logger that writes JSON lines with the fields of self to w. level is a zerolog level name; an
+// unknown one is a BadInput error.
 func NewLogger(w io.Writer, level string, self inner.Member) (zerolog.Logger, error) {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -38,7 +38,7 @@
 		Logger(), nil
 }
 
-// LogViolations makes every failed assertion an error line of log. The returned function removes it again.
+// LogViolations logs every violated invariant as an error. The returned function restores the previous recorder.
 func LogViolations(log zerolog.Logger) (restore func()) {
 	return invariant.SetRecorder(func(v invariant.Violation) {
 		log.Error().Str("invariant", string(v.ID)).Str("detail", v.Message).Msg("invariant violated")
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Names of the process gauges, updated at every read of the metrics.
+// Names of the process gauges, which are updated at every read of the metrics.
 const (
 	gaugeCPUMillis   = "process.cpu_ms"
 	gaugeHeapBytes   = "process.heap_bytes"
@@ -18,12 +18,12 @@
 	gaugeUptimeMS    = "process.uptime_ms"
 )
 
-// kibibyte is the unit in which Linux reports the resident set.
+// kibibyte is the unit of Rusage.Maxrss on Linux, in bytes.
 const kibibyte = 1024
 
-var started = time.Now()
+var processStart = time.Now()
 
-// MetricsHandler serves all metrics of the default registry as one JSON object.
+// MetricsHandler returns a handler that serves all metrics of the default registry as one JSON object.
 func MetricsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		updateProcessGauges()
@@ -32,7 +32,7 @@
 	})
 }
 
-// updateProcessGauges reads the resource usage of the process.
+// updateProcessGauges sets the process gauges to the current resource usage.
 func updateProcessGauges() {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err == nil {
@@ -44,7 +44,7 @@
 	runtime.ReadMemStats(&memory)
 	setGauge(gaugeHeapBytes, int64(memory.HeapAlloc))
 	setGauge(gaugeGoroutines, int64(runtime.NumGoroutine()))
-	setGauge(gaugeUptimeMS, time.Since(started).Milliseconds())
+	setGauge(gaugeUptimeMS, time.Since(processStart).Milliseconds())
 }
 
 func setGauge(name string, value int64) {
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -20,8 +20,8 @@
 
 var self = inner.Member{FailureDomain: "fd-a", VM: "vm-1", Role: "gateway", Incarnation: "i1"}
 
-// TestViolationsAreErrorLines guards against a violated invariant that the logs do not show.
-func TestViolationsAreErrorLines(t *testing.T) {
+// TestViolationsAreLoggedAsErrors guards against a violated invariant that is missing from the log.
+func TestViolationsAreLoggedAsErrors(t *testing.T) {
 	var out bytes.Buffer
 	log, err := NewLogger(&out, "info", self)
 	if err != nil {
@@ -38,8 +38,9 @@
 	}
 }
 
-// TestBadSettingsAreTypedErrors guards against settings that start a daemon without logs or spans.
-func TestBadSettingsAreTypedErrors(t *testing.T) {
+// TestUnusableSettingsAreRejected guards against a daemon that starts without logs or spans because of an unusable
+// setting.
+func TestUnusableSettingsAreRejected(t *testing.T) {
 	if _, err := NewLogger(&bytes.Buffer{}, "loud", self); !errkind.Is(err, errkind.BadInput) {
 		t.Errorf("log level: got %v", err)
 	}
@@ -49,8 +50,9 @@
 	}
 }
 
-// TestSpansReachTheFile guards against spans that are lost at the end of the process, or lack the process they are from.
-func TestSpansReachTheFile(t *testing.T) {
+// TestSpansAreWrittenToFile guards against spans that are lost when the process ends, or that do not name their
+// process.
+func TestSpansAreWrittenToFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "spans.json")
 	shutdown, err := SetupTracing(TraceOptions{Exporter: ExporterFile, Path: path, SampleRatio: 1}, self)
 	if err != nil {
@@ -67,8 +69,8 @@
 	}
 }
 
-// TestMetricsShowTheProcess guards the figures that the control budget is measured with.
-func TestMetricsShowTheProcess(t *testing.T) {
+// TestMetricsIncludeProcessUsage guards against missing process gauges, with which the control budget is measured.
+func TestMetricsIncludeProcessUsage(t *testing.T) {
 	metrics.GetOrRegisterCounter("telemetry.test", nil).Inc(3)
 	recorder := httptest.NewRecorder()
 	MetricsHandler().ServeHTTP(recorder, httptest.NewRequest("GET", "/metrics", nil))
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -27,14 +27,16 @@
 type TraceOptions struct {
 	// Exporter is ExporterOff, ExporterStdout or ExporterFile.
 	Exporter string
-	// Path is the file of ExporterFile; spans are appended as JSON.
+	// Path is the file to which ExporterFile appends spans as JSON.
 	Path string
-	// SampleRatio is the share of traces recorded, 0 to 1, where the caller has not decided already.
+	// SampleRatio is the share of traces that are recorded, 0 to 1. It applies only if the caller has not made the
+	// sampling decision.
 	SampleRatio float64
 }
 
-// SetupTracing installs W3C propagation and the exporter for the whole process. The returned function writes the
-// remaining spans; it must be called before the process ends.
+// SetupTracing installs W3C trace context propagation and the exporter for the whole process. The returned function
+// exports the remaining spans and must be called before the process ends. A trace file that cannot be opened is a
+// BadInput error.
 func SetupTracing(options TraceOptions, self inner.Member) (shutdown func(context.Context) error, err error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	if options.Exporter == ExporterOff || options.Exporter == "" {
@@ -61,7 +63,7 @@
 	return provider.Shutdown, nil
 }
 
-// traceWriter returns where spans are written.
+// traceWriter returns the writer of the span exporter.
 func traceWriter(options TraceOptions) (io.Writer, error) {
 	if options.Exporter == ExporterStdout {
 		return os.Stdout, nil
