--- a/tcpopt/usertimeout_linux.go
+++ b/tcpopt/usertimeout_linux.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// tcpUserTimeout is the option TCP_USER_TIMEOUT of linux/tcp.h; package syscall lacks it.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of linux/tcp.h, which package syscall does not define.
 const tcpUserTimeout = 0x12
 
-// UserTimeout returns a net.Dialer.Control function that closes the connection when sent data stays unacknowledged for
-// bound.
-func UserTimeout(bound time.Duration) func(network, address string, raw syscall.RawConn) error {
+// UserTimeout returns a net.Dialer.Control function that makes the kernel close the connection when sent data stays
+// unacknowledged for timeout, with a resolution of milliseconds.
+func UserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failure error
+		var optionErr error
 		err := raw.Control(func(fd uintptr) {
-			failure = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(bound.Milliseconds()))
+			optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failure
+		return optionErr
 	}
 }
