--- a/errkind/errkind.go
+++ b/errkind/errkind.go
@@ -1,8 +1,8 @@
 // Package errkind defines the typed errors of redwingthread.
 //
-// Every error that reaches a caller or an operator has a kind, a message and a remedy. The kind decides the HTTP
-// status and the exit code of the operator command; the remedy tells the reader what to do next. Errors carry a stack
-// trace through gravitational/trace.
+// Every error that reaches a caller or an operator has a kind, a message and a remedy. The kind determines the HTTP
+// status and the exit code of the operator command; the remedy tells the recipient what to do next. Errors carry a
+// stack trace through gravitational/trace.
 package errkind
 
 import (
@@ -13,40 +13,40 @@
 	"github.com/gravitational/trace"
 )
 
-// Kind classifies an error by what its receiver can do about it.
+// Kind classifies an error by what its recipient can do about it.
 type Kind string
 
-// The error kinds.
+// Error kinds.
 const (
 	// BadInput marks malformed input. Nothing was changed.
 	BadInput Kind = "bad_input"
 	// Unauthenticated marks a missing or wrong token.
 	Unauthenticated Kind = "unauthenticated"
-	// Forbidden marks an authenticated request for something of another account.
+	// Forbidden marks an authenticated request for a resource of another account.
 	Forbidden Kind = "forbidden"
 	// NotFound marks an unknown service, job, key or version.
 	NotFound Kind = "not_found"
-	// Conflict marks a change that lost against another one, such as a patch on an old base version.
+	// Conflict marks a change that conflicts with another one, such as a patch to an outdated base version.
 	Conflict Kind = "conflict"
 	// TooLarge marks a body, header or shape above its limit.
 	TooLarge Kind = "too_large"
-	// Infeasible marks a shape or guarantee that no configuration of healthy workers can hold.
+	// Infeasible marks a shape or guarantee that does not fit even if all workers are healthy.
 	Infeasible Kind = "infeasible"
-	// Overloaded marks a request that was shed before it was dispatched.
+	// Overloaded marks a request that was rejected for overload before it was dispatched.
 	Overloaded Kind = "overloaded"
-	// DeadlineExceeded marks work whose deadline passed before it was started.
+	// DeadlineExceeded marks work whose deadline passed before it started.
 	DeadlineExceeded Kind = "deadline_exceeded"
-	// Unavailable marks a dependency that cannot be reached now.
+	// Unavailable marks a dependency that currently cannot be reached.
 	Unavailable Kind = "unavailable"
 	// ShuttingDown marks a daemon that accepts no new work.
 	ShuttingDown Kind = "shutting_down"
 	// Unknown marks an operation whose effect could not be determined.
 	Unknown Kind = "unknown"
-	// Internal marks a fault of the program.
+	// Internal marks a defect of the program.
 	Internal Kind = "internal"
 )
 
-// kindProperties holds how a kind is reported over HTTP and by the operator command.
+// kindProperties holds the HTTP status and the exit code of the operator command for a kind.
 type kindProperties struct {
 	status   int
 	exitCode int
@@ -68,7 +68,7 @@
 	Internal:         {http.StatusInternalServerError, 1},
 }
 
-// Status returns the HTTP status of the kind; an undefined kind is an internal error.
+// Status returns the HTTP status of the kind. An undefined kind counts as Internal.
 func (k Kind) Status() int {
 	if p, ok := properties[k]; ok {
 		return p.status
@@ -76,7 +76,7 @@
 	return http.StatusInternalServerError
 }
 
-// ExitCode returns the exit code of the operator command for the kind; an undefined kind is an internal error.
+// ExitCode returns the exit code of the operator command for the kind. An undefined kind counts as Internal.
 func (k Kind) ExitCode() int {
 	if p, ok := properties[k]; ok {
 		return p.exitCode
@@ -84,17 +84,17 @@
 	return properties[Internal].exitCode
 }
 
-// Error is a typed error. Its JSON form is the body of an HTTP error answer.
+// Error is a typed error. Its JSON encoding is the body of an HTTP error response.
 type Error struct {
 	Kind    Kind   `json:"kind" cbor:"kind"`
 	Message string `json:"message" cbor:"message"`
-	// Remedy says what the receiver can do; it is never empty for errors made by New.
+	// Remedy says what the recipient can do. Errors made by New always have one.
 	Remedy string `json:"remedy" cbor:"remedy"`
-	// cause is the wrapped error, nil if there is none.
+	// cause is the wrapped error; nil if there is none.
 	cause error
 }
 
-// Error returns the message, the remedy and the cause in one line.
+// Error returns the message, the cause and the remedy in one line.
 func (e *Error) Error() string {
 	text := e.Message
 	if e.cause != nil {
@@ -106,15 +106,16 @@
 	return text
 }
 
-// Unwrap returns the wrapped cause, nil if there is none.
+// Unwrap returns the wrapped cause; nil if there is none.
 func (e *Error) Unwrap() error { return e.cause }
 
-// New returns an error of the kind with a remedy. The message is formatted from format and args.
+// New returns an error that wraps an *Error of the kind and has a stack trace. The message is formatted from format and
+// args.
 func New(kind Kind, remedy, format string, args ...any) error {
 	return trace.Wrap(&Error{Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy})
 }
 
-// Wrap returns an error of the kind with cause attached. It returns nil if cause is nil.
+// Wrap is like New and wraps cause in the error. It returns nil if cause is nil.
 func Wrap(cause error, kind Kind, remedy, format string, args ...any) error {
 	if cause == nil {
 		return nil
@@ -122,7 +123,7 @@
 	return trace.Wrap(&Error{Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy, cause: cause})
 }
 
-// As returns the typed error in err's chain. An untyped error is reported as Internal; nil gives nil.
+// As returns the first *Error in err's chain. It converts any other error to one of kind Internal, and nil to nil.
 func As(err error) *Error {
 	if err == nil {
 		return nil
@@ -139,7 +140,7 @@
 	}
 }
 
-// KindOf returns the kind of err, Internal for an untyped error and "" for nil.
+// KindOf returns the kind of err: Internal if its chain has no *Error, and "" if err is nil.
 func KindOf(err error) Kind {
 	if err == nil {
 		return ""
@@ -147,7 +148,7 @@
 	return As(err).Kind
 }
 
-// Is reports whether err is a typed error of the kind.
+// Is reports whether err is of the kind, as KindOf determines it.
 func Is(err error, kind Kind) bool {
 	return err != nil && KindOf(err) == kind
 }
--- a/errkind/errkind_test.go
+++ b/errkind/errkind_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestAsFindsTypedError guards against a typed error losing its kind when it is wrapped again.
+// TestAsFindsTypedError guards against a typed error that loses its kind or cause in a chain of wrapped errors.
 func TestAsFindsTypedError(t *testing.T) {
 	err := Wrap(io.EOF, Unavailable, "retry later", "log read of stream %s", "config")
 	typed := As(err)
@@ -21,7 +21,8 @@
 	}
 }
 
-// TestEveryKindHasProperties guards against a kind that is reported as an internal error.
+// TestEveryKindHasProperties guards against a kind without an HTTP status and exit code, which would be reported as an
+// internal error.
 func TestEveryKindHasProperties(t *testing.T) {
 	kinds := []Kind{BadInput, Unauthenticated, Forbidden, NotFound, Conflict, TooLarge, Infeasible, Overloaded,
 		DeadlineExceeded, Unavailable, ShuttingDown, Unknown, Internal}
