--- a/invariant/example_test.go
+++ b/invariant/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/redwingthread/redwingthread/invariant"
 )
 
-// A recorder sees each violation; the program goes on.
+// The recorder receives each violation; the program continues.
 func ExampleSetRecorder() {
 	log := &invariant.Log{}
 	restore := invariant.SetRecorder(log.Record)
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,7 +1,8 @@
-// Package invariant holds the assertions of redwingthread.
+// Package invariant checks the invariants of redwingthread at run time.
 //
-// An assertion states one promise of the system at the place where the program relies on it. In production a violation
-// is counted, the daemons install a Recorder that logs it, and the program goes on; a test installs one that fails the run.
+// An assertion checks one invariant of the system at a place where the program relies on it. In production a violation
+// is counted and logged by a Recorder that the daemons install, and the program continues; tests install a Recorder
+// that fails the test.
 package invariant
 
 import (
@@ -12,22 +13,30 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// ID names a promise. The identifiers are those of section 1.2 of docs/design.md.
+// ID identifies an invariant. The identifiers are those of section 1.2 of docs/design.md.
 type ID string
 
-// The promises.
+// The invariants.
 const (
-	GuaranteeReclaimable  ID = "P1"
-	GangWhole             ID = "P2"
-	AnswerWhole           ID = "P3"
-	NotRunIsTrue          ID = "P4"
-	AtMostOnce            ID = "P5"
-	LeavingGetsNoWork     ID = "P6"
-	ShutdownCutsNothing   ID = "P7"
+	// GuaranteeReclaimable means that a client account's guaranteed shape can always be reclaimed from work that borrows it.
+	GuaranteeReclaimable ID = "P1"
+	// GangWhole means that either all members of a gang run or none.
+	GangWhole ID = "P2"
+	// AnswerWhole means that a caller gets the complete response to its own request.
+	AnswerWhole ID = "P3"
+	// NotRunIsTrue means that a request that is reported as not run has not run.
+	NotRunIsTrue ID = "P4"
+	// AtMostOnce means that a non-idempotent request runs at most once.
+	AtMostOnce ID = "P5"
+	// LeavingGetsNoWork means that a leaving endpoint gets no new work after a bounded time.
+	LeavingGetsNoWork ID = "P6"
+	// ShutdownCutsNothing means that a graceful shutdown interrupts no accepted request.
+	ShutdownCutsNothing ID = "P7"
+	// ConfigurationMonotone means that a configuration version in force is never replaced by an earlier one.
 	ConfigurationMonotone ID = "P8"
 )
 
-// Violation is one failed assertion.
+// Violation describes one failed assertion.
 type Violation struct {
 	ID      ID
 	Message string
@@ -36,7 +45,7 @@
 // String returns the identifier and the message in one line.
 func (v Violation) String() string { return string(v.ID) + ": " + v.Message }
 
-// Recorder receives violations. It is called on the goroutine that found the violation and must not block.
+// Recorder receives violations. It is called on the goroutine that detected the violation and must not block.
 type Recorder func(Violation)
 
 var (
@@ -44,8 +53,8 @@
 	total    = metrics.GetOrRegisterCounter("invariant.violations", metrics.DefaultRegistry)
 )
 
-// SetRecorder installs r for the whole process and returns a function that restores the previous one. A nil r removes
-// the recorder; violations are still counted.
+// SetRecorder installs r for the whole process and returns a function that restores the previous recorder. If r is nil,
+// violations are counted but not recorded.
 func SetRecorder(r Recorder) (restore func()) {
 	var next *Recorder
 	if r != nil {
@@ -55,7 +64,8 @@
 	return func() { recorder.Store(previous) }
 }
 
-// Check records a violation of id if ok is false and returns ok. The message is formatted only on a violation.
+// Check counts and records a violation of id if ok is false, and returns ok. The message is formatted only on a
+// violation.
 func Check(ok bool, id ID, format string, args ...any) bool {
 	if ok {
 		return true
@@ -68,14 +78,14 @@
 	return false
 }
 
-// Log collects violations in order. It is safe for concurrent use; its Record method is a Recorder.
+// Log collects violations in order. Its method Record can be installed as the Recorder. It is safe for concurrent use.
 type Log struct {
 	mu sync.Mutex
 	// violations is guarded by mu.
 	violations []Violation
 }
 
-// Record appends v.
+// Record appends v to the log.
 func (l *Log) Record(v Violation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
