--- a/operatorapi/api.go
+++ b/operatorapi/api.go
@@ -1,7 +1,8 @@
-// Package operatorapi serves the operator HTTP API of docs/design.md, section 12.
+// Package operatorapi serves the operator HTTP API described in docs/design.md, section 12.
 //
-// Operators may call every path. A client account's token may use the job paths for the account's own jobs. Before
-// version 0 exists, a bootstrap token from the settings may initialise the configuration and read the status.
+// Operator tokens may use every path. The token of a client account may use the job paths, for the account's own jobs
+// only. Before version 0 of the configuration exists, the bootstrap token from the settings may initialise the
+// configuration and read its status.
 package operatorapi
 
 import (
@@ -17,7 +18,7 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// Configuration is the configuration as the API uses it; *configlog.Follower implements it.
+// Configuration reads and changes the configuration. It is implemented by *configlog.Follower.
 type Configuration interface {
 	Document() *config.Document
 	State() *configlog.State
@@ -29,14 +30,14 @@
 	Withdraw(ctx context.Context, id, author, reason string) configlog.Decision
 }
 
-// Jobs submits and shows jobs. Its errors are typed; an error of kind errkind.Unknown means that the change may have
-// taken effect.
+// Jobs submits, cancels and reads jobs. Its errors are typed (package errkind); an error of kind errkind.Unknown means
+// that the change may have taken effect.
 type Jobs interface {
-	// Submit accepts a job; a job without a failure domain is given one.
+	// Submit accepts a job. It chooses a failure domain for a job that names none.
 	Submit(ctx context.Context, job jobs.Job) (jobs.Status, error)
 	Cancel(ctx context.Context, id string) (jobs.Status, error)
 	Get(ctx context.Context, id string) (jobs.Status, error)
-	// List returns the jobs of an account in a state; an empty argument stands for all.
+	// List returns the jobs of an account that are in a state. An empty argument matches all.
 	List(ctx context.Context, account string, state jobs.State) ([]jobs.Status, error)
 }
 
@@ -44,13 +45,13 @@
 type VMStatus struct {
 	VM            string `json:"vm"`
 	FailureDomain string `json:"failure_domain"`
-	// Known is false if the VM's state cannot be seen; Version is then meaningless and shown as "unknown".
+	// Known is false if the VM's state cannot be read. Version is then meaningless and is reported as "unknown".
 	Known   bool   `json:"known"`
 	Version uint64 `json:"version"`
 	Digest  uint64 `json:"digest"`
 }
 
-// PeerHealth is a peer as this process sees it.
+// PeerHealth is the health of a peer as observed by this process.
 type PeerHealth struct {
 	VM            string `json:"vm"`
 	FailureDomain string `json:"failure_domain"`
@@ -60,38 +61,39 @@
 	Leaving       bool   `json:"leaving"`
 }
 
-// Peers shows the state of the other processes.
+// Peers reports the state of the other processes of the deployment.
 type Peers interface {
 	// ConfigStatus returns one entry for each entry VM, this one included.
 	ConfigStatus(ctx context.Context) []VMStatus
 	Health(ctx context.Context) []PeerHealth
-	// ActiveSchedulers returns the VM of the active scheduler of each failure domain where it is known.
+	// ActiveSchedulers maps each failure domain whose active scheduler is known to the VM of that scheduler.
 	ActiveSchedulers(ctx context.Context) map[string]string
 }
 
-// Settings are the collaborators and bounds of the API. Zero bounds get defaults.
+// Settings holds the dependencies and limits of an API. A limit of zero selects the default.
 type Settings struct {
 	Configuration Configuration
 	Jobs          Jobs
 	Peers         Peers
 	Logger        zerolog.Logger
-	// BootstrapTokenDigest admits one more operator token until version 0 exists; empty for none.
+	// BootstrapTokenDigest is the digest of an operator token that is valid until version 0 exists; empty for none.
 	BootstrapTokenDigest string
-	// MaxBodyBytes bounds request bodies.
+	// MaxBodyBytes limits the size of a request body, in bytes.
 	MaxBodyBytes int64
-	// Timeout bounds one request, so that a decision that cannot be read back is reported as unknown.
+	// Timeout limits the handling of one request, so that a decision that cannot be read back in time is reported as
+	// unknown.
 	Timeout time.Duration
-	// MaxConcurrent bounds the requests handled at once; others are refused as overloaded.
+	// MaxConcurrent limits the number of requests handled at once. Further requests are rejected as overloaded.
 	MaxConcurrent int64
-	// Ready reports whether the daemon takes requests; nil for always.
+	// Ready reports whether the daemon accepts requests; nil means always.
 	Ready func() bool
 }
 
-// Defaults of Settings. The body limit admits a document of the planned size.
+// Defaults of Settings. The body limit is large enough for a configuration document of the planned size.
 const (
 	defaultMaxBodyBytes = 4 << 20
 	defaultTimeout      = 10 * time.Second
-	// defaultMaxConcurrent bounds the memory of requests to 64 bodies of the largest size.
+	// defaultMaxConcurrent keeps the memory for request bodies below 64 times defaultMaxBodyBytes.
 	defaultMaxConcurrent = 64
 )
 
--- a/operatorapi/api_test.go
+++ b/operatorapi/api_test.go
@@ -17,7 +17,8 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// fakeConfiguration folds without a log. Its decisions are those of outcome where it is set.
+// fakeConfiguration applies records to its state directly, without a log. If outcome is Unknown, every change returns an
+// unknown decision.
 type fakeConfiguration struct {
 	state   *configlog.State
 	outcome configlog.Outcome
@@ -64,7 +65,7 @@
 	return c.fold(configlog.Record{Withdraw: &configlog.Withdraw{PatchID: id, Author: author, Reason: reason}})
 }
 
-// fakeJobs holds jobs by id and fails with err if it is set.
+// fakeJobs keeps jobs in memory by id. Its methods, except Get, return err.
 type fakeJobs struct {
 	jobs map[string]jobs.Status
 	err  error
@@ -114,7 +115,8 @@
 	jobs          *fakeJobs
 }
 
-// newFixture returns an API; the configuration has operator ana and accounts orders and blades unless it is empty.
+// newFixture returns an API over fakes. Unless empty is set, the configuration is initialised with operator ana and the
+// accounts orders and blades, and blades has the running job j-blades.
 func newFixture(t *testing.T, empty bool) *fixture {
 	f := &fixture{configuration: &fakeConfiguration{state: configlog.NewState()}, jobs: &fakeJobs{jobs: map[string]jobs.Status{}}}
 	f.api = New(Settings{Configuration: f.configuration, Jobs: f.jobs, Peers: fakePeers{}, Logger: zerolog.Nop(),
@@ -144,7 +146,8 @@
 	return string(raw)
 }()
 
-// do sends a request and returns status and body, which it checks for the form of an error.
+// do sends a request and returns the status and body of the response. It checks that the body is JSON, and that an error
+// response has a kind, a remedy and an outcome.
 func (f *fixture) do(t *testing.T, method, path, token, body string) (int, string) {
 	t.Helper()
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
@@ -155,11 +158,11 @@
 	f.api.ServeHTTP(w, r)
 	var decoded any
 	if err := json.Unmarshal(w.Body.Bytes(), &decoded); err != nil {
-		t.Errorf("%s %s: body %q is no JSON", method, path, w.Body)
+		t.Errorf("%s %s: body %q is not JSON", method, path, w.Body)
 	}
 	object, _ := decoded.(map[string]any)
 	if w.Code >= 400 && (object["kind"] == nil || object["remedy"] == "" || object["outcome"] == nil) {
-		t.Errorf("%s %s: error %v is not typed", method, path, object)
+		t.Errorf("%s %s: error response %v lacks kind, remedy or outcome", method, path, object)
 	}
 	return w.Code, w.Body.String()
 }
@@ -169,8 +172,8 @@
 	goodJob   = `{"id":"j-1","account":"orders","shape":{"members":1,"per_member":{"accelerators":1},"adjacency":"none"},"run":["true"]}`
 )
 
-// TestRequests guards against a path that admits the wrong token, shows another account's jobs, answers bad input without
-// a typed error, or with a status other than that of the kind.
+// TestRequests guards against a path that accepts the wrong token, exposes another account's jobs, responds to bad input
+// without a typed error, or uses a status that does not match the kind of the error.
 func TestRequests(t *testing.T) {
 	cases := map[string]struct {
 		method, path, token, body string
@@ -230,38 +233,40 @@
 			before := f.configuration.state.Doc.Version
 			status, body := f.do(t, c.method, c.path, c.token, c.body)
 			if status != c.status || !strings.Contains(body, c.inBody) {
-				t.Errorf("status %d body %s", status, body)
+				t.Errorf("got status %d, body %s", status, body)
 			}
 			if status != 200 && (f.configuration.state.Doc.Version != before || f.jobs.jobs["j-1"].Job.ID != "") {
-				t.Error("a refused request changed something")
+				t.Error("a rejected request changed the configuration or submitted a job")
 			}
 		})
 	}
 }
 
-// TestBootstrap guards against a bootstrap token that admits more than initialising, or longer than until version 0.
+// TestBootstrap guards against a bootstrap token that permits more than initialisation and status reads, or that stays
+// valid after version 0 exists.
 func TestBootstrap(t *testing.T) {
 	f := newFixture(t, true)
 	for path, want := range map[string]int{"/v1/config": 503, "/v1/jobs": 503, "/v1/config/status": 200, "/v1/health": 200} {
 		if status, body := f.do(t, "GET", path, "boot", ""); status != want {
-			t.Errorf("%s: %d %v", path, status, body)
+			t.Errorf("%s: got status %d, body %v", path, status, body)
 		}
 	}
 	if status, _ := f.do(t, "POST", "/v1/config/init", "ana", initDocument); status != 401 {
-		t.Errorf("unknown token initialises: %d", status)
+		t.Errorf("init with an unknown token: got status %d", status)
 	}
 	if status, _ := f.do(t, "POST", "/v1/config/init", "boot", `{"failure_domains":{}}`); status != 400 {
-		t.Errorf("faulty document: %d", status)
+		t.Errorf("init with an invalid document: got status %d", status)
 	}
 	if status, body := f.do(t, "POST", "/v1/config/init", "boot", initDocument); status != 200 || !strings.Contains(body, `"outcome":"accepted"`) {
-		t.Errorf("init: %d %v", status, body)
+		t.Errorf("init: got status %d, body %v", status, body)
 	}
 	if status, _ := f.do(t, "GET", "/v1/config", "boot", ""); status != 401 {
-		t.Errorf("bootstrap token is valid after version 0: %d", status)
+		t.Errorf("bootstrap token after version 0: got status %d", status)
 	}
 }
 
-// TestUnknownOutcome guards against a lost response that is reported as a failure without the command that settles it.
+// TestUnknownOutcome guards against a lost response of the log that is reported as a plain failure: the change may have
+// taken effect, so the outcome must be unknown and the remedy must name the command that finds out.
 func TestUnknownOutcome(t *testing.T) {
 	f := newFixture(t, false)
 	f.configuration.outcome = configlog.Unknown
@@ -277,7 +282,7 @@
 	}
 }
 
-// must gives the value of a call that cannot fail unless the test is wrong.
+// must returns value. It panics on an error, which only a mistake in the test can cause.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
--- a/operatorapi/auth.go
+++ b/operatorapi/auth.go
@@ -8,50 +8,52 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// scope says which tokens a path admits beside those of operators.
+// scope says which tokens a path accepts in addition to those of operators.
 type scope int
 
 const (
 	scopeOperator scope = iota
-	// scopeBootstrap also admits the bootstrap token while there is no configuration.
+	// scopeBootstrap also accepts the bootstrap token while the configuration is not initialised.
 	scopeBootstrap
-	// scopeAccount also admits the tokens of client accounts.
+	// scopeAccount also accepts the tokens of client accounts.
 	scopeAccount
 )
 
-// bootstrapName is the author of changes made with the bootstrap token.
+// bootstrapName is the operator name recorded for changes that are made with the bootstrap token.
 const bootstrapName = "bootstrap"
 
-// principal is who sent a request: an operator or a client account.
+// principal is the authenticated sender of a request: an operator or a client account. The other name is empty.
 type principal struct {
 	operator string
 	account  string
 }
 
-// maySee reports whether the principal may see and change things of an account.
-func (p principal) maySee(account string) bool { return p.operator != "" || p.account == account }
+// canAccess reports whether the principal may read and change the jobs of an account.
+func (p principal) canAccess(account string) bool { return p.operator != "" || p.account == account }
 
-// authenticate finds the principal of a request and checks that it may use a path of the scope.
+// authenticate returns the principal of a request, or an error if its token is unknown or may not use a path of the
+// scope.
 func (a *API) authenticate(r *http.Request, s scope) (principal, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
-		return principal{}, errkind.New(errkind.Unauthenticated, "send Authorization: Bearer with a token", "request has no token")
+		return principal{}, errkind.New(errkind.Unauthenticated, "send Authorization: Bearer with a token", "the request has no bearer token")
 	}
-	who, found := a.lookup(config.TokenDigest(token))
+	p, found := a.findPrincipal(config.TokenDigest(token))
 	if !found {
-		return principal{}, errkind.New(errkind.Unauthenticated, "use the token of a configured operator or account", "token is not known")
+		return principal{}, errkind.New(errkind.Unauthenticated, "use the token of a configured operator or account", "unknown token")
 	}
-	if who.operator == "" && s != scopeAccount {
-		return principal{}, errkind.New(errkind.Forbidden, "use an operator token", "account %s may only use the job paths", who.account)
+	if p.operator == "" && s != scopeAccount {
+		return principal{}, errkind.New(errkind.Forbidden, "use an operator token", "account %s may only use the job paths", p.account)
 	}
-	if who.operator == bootstrapName && a.settings.Configuration.Document() == nil && s != scopeBootstrap {
-		return principal{}, errkind.New(errkind.Unavailable, "run redwingctl config init first", "there is no configuration yet")
+	if p.operator == bootstrapName && a.settings.Configuration.Document() == nil && s != scopeBootstrap {
+		return principal{}, errkind.New(errkind.Unavailable, "run redwingctl config init first", "the configuration is not initialised")
 	}
-	return who, nil
+	return p, nil
 }
 
-// lookup compares digest with every known one in constant time, so that the time tells nothing about them.
-func (a *API) lookup(digest string) (principal, bool) {
+// findPrincipal returns the principal whose token has the digest. It compares the digest with all known digests in
+// constant time, so that response times reveal nothing about them.
+func (a *API) findPrincipal(digest string) (principal, bool) {
 	var found principal
 	doc := a.settings.Configuration.Document()
 	if doc == nil {
--- a/operatorapi/config.go
+++ b/operatorapi/config.go
@@ -15,8 +15,8 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// DecisionResult is a decision as the API answers it. Kind, Message and Remedy are those of its error, in the place where
-// every error answer has them.
+// DecisionResult is the response body for a decision. Kind, Message and Remedy repeat the error of the decision at the
+// top level, where every error response has them.
 type DecisionResult struct {
 	configlog.Decision
 	Kind    errkind.Kind `json:"kind,omitempty"`
@@ -24,8 +24,8 @@
 	Remedy  string       `json:"remedy,omitempty"`
 }
 
-// decided answers with a decision; a refused or unknown one has the status of its error.
-func decided(d configlog.Decision) (int, any, error) {
+// decisionResponse returns the response for a decision. A refused or unknown decision gets the HTTP status of its error.
+func decisionResponse(d configlog.Decision) (int, any, error) {
 	result := DecisionResult{Decision: d}
 	if d.Outcome == configlog.Accepted || d.Error == nil {
 		return http.StatusOK, result, nil
@@ -34,16 +34,17 @@
 	return d.Error.Kind.Status(), result, nil
 }
 
-// read answers with 200 whatever the decision was, since the request was to read it; an unknown one is an error.
-func read(d configlog.Decision) (int, any, error) {
-	status, result, err := decided(d)
+// settledResponse returns the response to a request that reads a decision back. The status is 200 for a refused patch
+// too, because the read succeeded; an unknown decision keeps the status of its error.
+func settledResponse(d configlog.Decision) (int, any, error) {
+	status, result, err := decisionResponse(d)
 	if d.Outcome != configlog.Unknown {
 		status = http.StatusOK
 	}
 	return status, result, err
 }
 
-// readBody reads the whole body within the limit.
+// readBody reads the whole request body, up to the size limit.
 func readBody(r *http.Request) (json.RawMessage, error) {
 	raw, err := io.ReadAll(r.Body)
 	if err == nil {
@@ -51,12 +52,12 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, errkind.New(errkind.TooLarge, "send a smaller document", "body is above %d bytes", tooLarge.Limit)
+		return nil, errkind.New(errkind.TooLarge, "send a smaller document", "request body exceeds %d bytes", tooLarge.Limit)
 	}
-	return nil, errkind.Wrap(err, errkind.BadInput, "send the body again", "body cannot be read")
+	return nil, errkind.Wrap(err, errkind.BadInput, "send the request again", "cannot read the request body")
 }
 
-func (a *API) initialise(ctx context.Context, r *http.Request, who principal) (int, any, error) {
+func (a *API) initialise(ctx context.Context, r *http.Request, p principal) (int, any, error) {
 	raw, err := readBody(r)
 	if err != nil {
 		return 0, nil, err
@@ -70,12 +71,12 @@
 		return 0, nil, err
 	}
 	d := a.settings.Configuration.Initialise(ctx, configlog.Initialise{
-		ID: "init-" + uuid.NewString(), Author: who.operator, Reason: "initialise", Document: doc,
+		ID: "init-" + uuid.NewString(), Author: p.operator, Reason: "initialise", Document: doc,
 	})
-	return decided(d)
+	return decisionResponse(d)
 }
 
-// PlanResult is the answer to a plan.
+// PlanResult is the response to a plan request: the changes that a patch would make to version Base.
 type PlanResult struct {
 	Base    uint64      `json:"base"`
 	Version uint64      `json:"version"`
@@ -84,8 +85,8 @@
 	Summary []string `json:"summary"`
 }
 
-func (a *API) plan(_ context.Context, r *http.Request, who principal) (int, any, error) {
-	patch, err := readPatch(r, who)
+func (a *API) plan(_ context.Context, r *http.Request, p principal) (int, any, error) {
+	patch, err := readPatch(r, p)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -99,9 +100,8 @@
 	}, nil
 }
 
-// readPatch reads a patch. The author is the operator whose token was sent; another name is refused, so that the log of
-// changes can be relied on.
-func readPatch(r *http.Request, who principal) (config.Patch, error) {
+// readPatch reads a patch from the request body. A patch without an id gets a random one.
+func readPatch(r *http.Request, p principal) (config.Patch, error) {
 	var patch config.Patch
 	if err := readJSON(r, &patch); err != nil {
 		return patch, err
@@ -109,68 +109,70 @@
 	if patch.ID == "" {
 		patch.ID = uuid.NewString()
 	}
-	return patch, setAuthor(&patch.Author, who)
+	return patch, setAuthor(&patch.Author, p)
 }
 
-func setAuthor(author *string, who principal) error {
-	if *author != "" && *author != who.operator {
+// setAuthor sets the author to the operator whose token was sent. Any other name is rejected, so that the authors in the
+// configuration log can be trusted.
+func setAuthor(author *string, p principal) error {
+	if *author != "" && *author != p.operator {
 		return errkind.New(errkind.Forbidden, "leave the author out or use that operator's token",
-			"author %q is not operator %q, whose token was sent", *author, who.operator)
+			"author %q is not operator %q, whose token was sent", *author, p.operator)
 	}
-	*author = who.operator
+	*author = p.operator
 	return nil
 }
 
-func (a *API) submit(ctx context.Context, r *http.Request, who principal) (int, any, error) {
-	patch, err := readPatch(r, who)
+func (a *API) submit(ctx context.Context, r *http.Request, p principal) (int, any, error) {
+	patch, err := readPatch(r, p)
 	if err != nil {
 		return 0, nil, err
 	}
-	return decided(a.settings.Configuration.Submit(ctx, patch))
+	return decisionResponse(a.settings.Configuration.Submit(ctx, patch))
 }
 
 func (a *API) settle(ctx context.Context, r *http.Request, _ principal) (int, any, error) {
-	return read(a.settings.Configuration.Settle(ctx, r.PathValue("id")))
+	return settledResponse(a.settings.Configuration.Settle(ctx, r.PathValue("id")))
 }
 
-// WithdrawRequest is the body of a withdrawal. An empty author stands for the operator whose token was sent.
+// WithdrawRequest is the body of a withdraw request. An empty author stands for the operator whose token was sent.
 type WithdrawRequest struct {
 	Author string `json:"author"`
 	Reason string `json:"reason"`
 }
 
-func (a *API) withdraw(ctx context.Context, r *http.Request, who principal) (int, any, error) {
+func (a *API) withdraw(ctx context.Context, r *http.Request, p principal) (int, any, error) {
 	var body WithdrawRequest
 	if err := readJSON(r, &body); err != nil {
 		return 0, nil, err
 	}
 	if id := r.PathValue("id"); !validID(id) {
-		return 0, nil, errkind.New(errkind.BadInput, "give the id of a patch", "%q cannot be the id of a patch", id)
+		return 0, nil, errkind.New(errkind.BadInput, "give the id of a patch", "%q is not a valid id of a patch", id)
 	}
-	if err := setAuthor(&body.Author, who); err != nil {
+	if err := setAuthor(&body.Author, p); err != nil {
 		return 0, nil, err
 	}
 	if body.Reason == "" || len(body.Reason) > config.MaxTextLength {
 		return 0, nil, errkind.New(errkind.BadInput, "give a reason of 1 to 512 bytes", "reason has %d bytes", len(body.Reason))
 	}
-	return read(a.settings.Configuration.Withdraw(ctx, r.PathValue("id"), body.Author, body.Reason))
+	return settledResponse(a.settings.Configuration.Withdraw(ctx, r.PathValue("id"), body.Author, body.Reason))
 }
 
-// queryVersion reads a version from the query; an absent one gives fallback.
+// queryVersion parses the version in the query parameter of the given name. It returns fallback if there is none.
 func queryVersion(r *http.Request, name string, fallback uint64) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return fallback, nil
 	}
 	version, err := strconv.ParseUint(text, 10, 64)
-	return version, errkind.Wrap(err, errkind.BadInput, "give a version number", "%s=%q is no version", name, text)
+	return version, errkind.Wrap(err, errkind.BadInput, "give a version number", "%s=%q is not a version number", name, text)
 }
 
-// state returns a copy of the folded state that has a configuration.
+// state returns a copy of the configuration state, or an error if the configuration is not initialised.
 func (a *API) state() (*configlog.State, error) {
 	state := a.settings.Configuration.State()
 	if state == nil || state.Doc == nil {
-		return nil, errkind.New(errkind.NotFound, "run redwingctl config init", "there is no configuration yet")
+		return nil, errkind.New(errkind.NotFound, "run redwingctl config init", "the configuration is not initialised")
 	}
 	return state, nil
 }
@@ -202,20 +204,21 @@
 		return 0, nil, err
 	}
 	if from > to {
-		return 0, nil, errkind.New(errkind.BadInput, "give from at most to", "from %d is above to %d", from, to)
+		return 0, nil, errkind.New(errkind.BadInput, "use a from that is not above to", "from version %d is above to version %d", from, to)
 	}
 	return http.StatusOK, logEntries(state, from, to), nil
 }
 
-// LogEntry is one decision in the log of changes.
+// LogEntry is one decision in the configuration log.
 type LogEntry struct {
 	configlog.Decision
-	// Summary has one line for each field that an accepted patch changed; it is empty if the version before is not kept.
+	// Summary has one line for each field that an accepted patch changed. It is empty if the previous version is no longer
+	// kept.
 	Summary []string `json:"summary,omitempty"`
 }
 
-// logEntries returns the decisions of the versions from and to, both included, each with its summary. It goes through the
-// versions once, from the oldest on.
+// logEntries returns the decisions of the versions from..to, both included, each with its summary. It applies the ops of
+// the versions once, in ascending order, instead of rebuilding the document for each of them.
 func logEntries(state *configlog.State, from, to uint64) []LogEntry {
 	entries := []LogEntry{}
 	var doc *config.Document
@@ -223,11 +226,11 @@
 		entry := LogEntry{Decision: d}
 		if d.Outcome == configlog.Accepted && d.Version > 0 {
 			if doc == nil || doc.Version != d.Version-1 {
-				doc, _ = state.At(d.Version - 1) // without it there are no summaries
+				doc, _ = state.At(d.Version - 1) // if it is no longer kept, the entry has no summary
 			}
 			if doc != nil {
 				entry.Summary = config.Describe(doc, d.Ops)
-				doc, _ = config.ApplyOps(doc, d.Ops, d.Version) // these ops were accepted before
+				doc, _ = config.ApplyOps(doc, d.Ops, d.Version) // cannot fail: these ops were accepted
 			}
 		}
 		entries = append(entries, entry)
@@ -235,13 +238,13 @@
 	return entries
 }
 
-// StatusResult is the configuration in force on this process and on every entry VM.
+// StatusResult is the configuration in force in this process and on every entry VM.
 type StatusResult struct {
 	Self configlog.Status `json:"self"`
 	VMs  []VMVersion      `json:"vms"`
 }
 
-// VMVersion shows an unseen VM's version as "unknown".
+// VMVersion is the version in force on one entry VM. Version is a number, or "unknown" if the VM's state cannot be read.
 type VMVersion struct {
 	VM            string `json:"vm"`
 	FailureDomain string `json:"failure_domain"`
@@ -262,7 +265,7 @@
 	return http.StatusOK, body, nil
 }
 
-// HealthResult is the health of this daemon and what it sees of the others.
+// HealthResult is the health of this daemon and of its peers as this daemon observes them.
 type HealthResult struct {
 	Ready            bool              `json:"ready"`
 	Configuration    configlog.Status  `json:"configuration"`
--- a/operatorapi/jobs.go
+++ b/operatorapi/jobs.go
@@ -11,49 +11,50 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// JobResult is the answer to a submission or cancellation.
+// JobResult is the response to a submission or cancellation.
 type JobResult struct {
 	Outcome string      `json:"outcome"`
 	Job     jobs.Status `json:"job"`
 }
 
-func (a *API) submitJob(ctx context.Context, r *http.Request, who principal) (int, any, error) {
+func (a *API) submitJob(ctx context.Context, r *http.Request, p principal) (int, any, error) {
 	var job jobs.Job
 	if err := readJSON(r, &job); err != nil {
 		return 0, nil, err
 	}
 	if job.Account == "" {
-		job.Account = who.account
+		job.Account = p.account
 	}
-	if !who.maySee(job.Account) {
+	if !p.canAccess(job.Account) {
 		return 0, nil, errkind.New(errkind.Forbidden, "leave the account out or use that account's token",
-			"account %s may not submit jobs of account %s", who.account, job.Account)
+			"account %s may not submit jobs of account %s", p.account, job.Account)
 	}
-	if err := a.checkJob(&job); err != nil {
+	if err := a.validateJob(&job); err != nil {
 		return 0, nil, err
 	}
 	status, err := a.settings.Jobs.Submit(ctx, job)
 	if err != nil {
 		return 0, nil, err
 	}
-	if !who.maySee(status.Job.Account) {
-		// The id is that of another account's job, which the caller must not see.
-		return 0, nil, errkind.New(errkind.Conflict, "choose another id", "job id %s is in use", job.ID)
+	if !p.canAccess(status.Job.Account) {
+		// The id belongs to another account's job, which this account must not see.
+		return 0, nil, errkind.New(errkind.Conflict, "choose another id", "job id %s is already in use", job.ID)
 	}
 	return http.StatusOK, JobResult{Outcome: outcomeCompleted, Job: status}, nil
 }
 
-// maxCommandBytes bounds the command line of a task.
+// maxCommandBytes limits the total length of the arguments of a job's command.
 const maxCommandBytes = 64 << 10
 
-// checkJob checks what needs only the configuration; whether workers can hold the shape is checked by Jobs.
-func (a *API) checkJob(job *jobs.Job) error {
+// validateJob checks a job against the configuration and gives a job without an id a random one. Whether workers can hold
+// the shape is checked by Jobs.
+func (a *API) validateJob(job *jobs.Job) error {
 	doc := a.settings.Configuration.Document()
 	if job.ID == "" {
 		job.ID = uuid.NewString()
 	}
 	if !validID(job.ID) {
-		return errkind.New(errkind.BadInput, "use 1 to 64 letters, digits, '.', '_' or '-'", "job id %q cannot be used", job.ID)
+		return errkind.New(errkind.BadInput, "use 1 to 64 letters, digits, '.', '_' or '-'", "job id %q is not valid", job.ID)
 	}
 	if _, ok := doc.Accounts[job.Account]; !ok {
 		return errkind.New(errkind.BadInput, "name a configured account", "account %q is not configured", job.Account)
@@ -65,19 +66,20 @@
 	if err := job.Shape.Validate(); err != nil {
 		return err
 	}
-	bytes := 0
-	for _, word := range job.Run {
-		bytes += len(word)
+	size := 0
+	for _, arg := range job.Run {
+		size += len(arg)
 	}
-	if len(job.Run) == 0 || bytes > maxCommandBytes {
-		return errkind.New(errkind.BadInput, fmt.Sprintf("give a command of 1 to %d bytes", maxCommandBytes), "command has %d bytes", bytes)
+	if len(job.Run) == 0 || size > maxCommandBytes {
+		return errkind.New(errkind.BadInput, fmt.Sprintf("give a command of 1 to %d bytes", maxCommandBytes), "command has %d bytes", size)
 	}
 	if job.DeclaredRunSeconds < 0 {
-		return errkind.New(errkind.BadInput, "give 0 or more seconds", "declared run time is %d s", job.DeclaredRunSeconds)
+		return errkind.New(errkind.BadInput, "give 0 or more seconds", "declared run time of %d s is negative", job.DeclaredRunSeconds)
 	}
 	return nil
 }
 
+// validID reports whether id can be the id of a patch or job: 1 to 64 letters, digits, '.', '_' or '-'.
 func validID(id string) bool {
 	if id == "" || len(id) > 64 {
 		return false
@@ -91,31 +93,32 @@
 	return true
 }
 
-func (a *API) listJobs(ctx context.Context, r *http.Request, who principal) (int, any, error) {
+func (a *API) listJobs(ctx context.Context, r *http.Request, p principal) (int, any, error) {
 	account, state := r.URL.Query().Get("account"), jobs.State(r.URL.Query().Get("state"))
-	if who.operator == "" {
-		if account != "" && account != who.account {
-			return 0, nil, errkind.New(errkind.Forbidden, "leave the account out", "account %s may not list jobs of account %s", who.account, account)
+	if p.operator == "" {
+		if account != "" && account != p.account {
+			return 0, nil, errkind.New(errkind.Forbidden, "leave the account out", "account %s may not list jobs of account %s", p.account, account)
 		}
-		account = who.account
+		account = p.account
 	}
-	if !knownState(state) {
-		return 0, nil, errkind.New(errkind.BadInput, "use a job state such as waiting or running", "unknown state %q", state)
+	if !validState(state) {
+		return 0, nil, errkind.New(errkind.BadInput, "use a job state such as waiting or running", "unknown job state %q", state)
 	}
-	all, err := a.settings.Jobs.List(ctx, account, state)
+	statuses, err := a.settings.Jobs.List(ctx, account, state)
 	if err != nil {
 		return 0, nil, err
 	}
-	visible := make([]jobs.Status, 0, len(all))
-	for _, status := range all {
-		if who.maySee(status.Job.Account) {
+	visible := make([]jobs.Status, 0, len(statuses))
+	for _, status := range statuses {
+		if p.canAccess(status.Job.Account) {
 			visible = append(visible, status)
 		}
 	}
 	return http.StatusOK, visible, nil
 }
 
-func knownState(s jobs.State) bool {
+// validState reports whether s is a job state or empty, which matches all states.
+func validState(s jobs.State) bool {
 	switch s {
 	case "", jobs.StateWaiting, jobs.StateStarting, jobs.StateRunning, jobs.StateStopping, jobs.StateCompleted,
 		jobs.StateFailed, jobs.StateCancelled, jobs.StateUnknown:
@@ -124,29 +127,30 @@
 	return false
 }
 
-// ownJob returns the job of the path. Another account's job looks like one that does not exist.
-func (a *API) ownJob(ctx context.Context, r *http.Request, who principal) (jobs.Status, error) {
+// accessibleJob returns the job that the path names. A job of another account gives the same error as one that does not
+// exist, so that an account cannot find out the ids of other accounts' jobs.
+func (a *API) accessibleJob(ctx context.Context, r *http.Request, p principal) (jobs.Status, error) {
 	id := r.PathValue("id")
 	status, err := a.settings.Jobs.Get(ctx, id)
-	if err == nil && !who.maySee(status.Job.Account) || errkind.Is(err, errkind.NotFound) {
+	if err == nil && !p.canAccess(status.Job.Account) || errkind.Is(err, errkind.NotFound) {
 		return jobs.Status{}, errkind.New(errkind.NotFound, "run redwingctl job list", "there is no job %q", id)
 	}
 	return status, err
 }
 
-func (a *API) getJob(ctx context.Context, r *http.Request, who principal) (int, any, error) {
-	status, err := a.ownJob(ctx, r, who)
+func (a *API) getJob(ctx context.Context, r *http.Request, p principal) (int, any, error) {
+	status, err := a.accessibleJob(ctx, r, p)
 	return http.StatusOK, status, err
 }
 
-// WhyResult is the answer to why.
+// WhyResult is the response to a why request: the reason for the state of a job.
 type WhyResult struct {
 	ID  string `json:"id"`
 	Why string `json:"why"`
 }
 
-func (a *API) whyJob(ctx context.Context, r *http.Request, who principal) (int, any, error) {
-	status, err := a.ownJob(ctx, r, who)
+func (a *API) whyJob(ctx context.Context, r *http.Request, p principal) (int, any, error) {
+	status, err := a.accessibleJob(ctx, r, p)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -157,8 +161,8 @@
 	return http.StatusOK, WhyResult{ID: status.Job.ID, Why: why}, nil
 }
 
-func (a *API) cancelJob(ctx context.Context, r *http.Request, who principal) (int, any, error) {
-	if _, err := a.ownJob(ctx, r, who); err != nil {
+func (a *API) cancelJob(ctx context.Context, r *http.Request, p principal) (int, any, error) {
+	if _, err := a.accessibleJob(ctx, r, p); err != nil {
 		return 0, nil, err
 	}
 	status, err := a.settings.Jobs.Cancel(ctx, r.PathValue("id"))
