--- a/operatorclient/caller.go
+++ b/operatorclient/caller.go
@@ -26,14 +26,14 @@
 	outcomeUnknown   = "unknown"
 )
 
-// Caller calls the caller API of one gateway for a client account.
+// Caller is a client of the caller API of one gateway. It sends requests on behalf of a client account.
 type Caller struct {
 	base  string
 	token string
 	http  *http.Client
 }
 
-// NewCaller returns a client of the caller API at address (host:port). A call takes at most timeout.
+// NewCaller returns a client of the caller API at address (host:port). Each request is limited to timeout.
 func NewCaller(address, token string, timeout time.Duration) *Caller {
 	return &Caller{base: "http://" + address, token: token, http: newHTTPClient(timeout)}
 }
@@ -46,13 +46,13 @@
 	Body   []byte
 	// Key is the request key of a non-idempotent request; empty for none.
 	Key string
-	// TimeoutMS is the deadline in milliseconds; 0 for the service's.
+	// TimeoutMS is the timeout in milliseconds; 0 selects the default of the service.
 	TimeoutMS int64
 	// Idempotent declares that a POST or PATCH may run more than once.
 	Idempotent bool
 }
 
-// ServiceResponse is a complete response of a service.
+// ServiceResponse is the response to a ServiceRequest. Without a response from the gateway only Outcome and Key are set.
 type ServiceResponse struct {
 	Outcome   string `json:"outcome"`
 	Status    int    `json:"status"`
@@ -61,7 +61,7 @@
 	Body      string `json:"body"`
 }
 
-// NewKey gets a request key.
+// NewKey requests a new request key from the gateway.
 func (c *Caller) NewKey(ctx context.Context) (string, error) {
 	response, raw, err := c.send(ctx, http.MethodPost, "/v1/keys", nil, nil)
 	if err != nil {
@@ -75,13 +75,13 @@
 	}
 	if err := json.Unmarshal(raw, &body); err != nil || body.Key == "" {
 		return "", errkind.New(errkind.Internal, "check that -addr is the caller address of a gateway",
-			"answer of status %d without a key", response.StatusCode)
+			"response with status %d has no request key", response.StatusCode)
 	}
 	return body.Key, nil
 }
 
-// Send sends a request to a service. An outcome other than completed gives an error; of kind errkind.Unknown if the
-// request may have run.
+// Send sends a request to a service. It returns an error for any outcome other than completed; the error has kind
+// errkind.Unknown if the request may have run.
 func (c *Caller) Send(ctx context.Context, request ServiceRequest) (ServiceResponse, error) {
 	header := http.Header{}
 	if request.Key != "" {
@@ -96,7 +96,7 @@
 	path := "/v1/services/" + strings.TrimPrefix(request.Target, "/")
 	response, raw, err := c.send(ctx, request.Method, path, header, request.Body)
 	if err != nil {
-		return ServiceResponse{Outcome: outcomeOf(err), Key: request.Key}, err
+		return ServiceResponse{Outcome: outcomeWithoutResponse(err), Key: request.Key}, err
 	}
 	result := ServiceResponse{
 		Outcome:   response.Header.Get(headerOutcome),
@@ -114,16 +114,17 @@
 	return result, outcomeError(result, raw)
 }
 
-// outcomeOf returns the outcome of a request without a response.
-func outcomeOf(err error) string {
+// outcomeWithoutResponse returns the outcome of a request that got no response.
+func outcomeWithoutResponse(err error) string {
 	if errkind.Is(err, errkind.Unknown) {
 		return outcomeUnknown
 	}
 	return outcomeNotRun
 }
 
-// outcomeError returns the typed error of a request that was not completed. An unknown outcome decides the kind, so that
-// a script cannot take it for one that did not run.
+// outcomeError returns the typed error of a request that was not completed. Unless the outcome is not_run, the error has
+// kind errkind.Unknown whatever kind the response names, so that a script does not take the request for one that did not
+// run.
 func outcomeError(r ServiceResponse, raw []byte) error {
 	err := responseError(r.Status, raw)
 	if r.Outcome == outcomeNotRun || errkind.Is(err, errkind.Unknown) {
@@ -144,15 +145,15 @@
 		request.Header[name] = values
 	}
 	request.Header.Set("Authorization", "Bearer "+c.token)
-	const settle = "send it again with the same key; without a key it may run twice"
+	const unknownRemedy = "send it again with the same key; without a key it may run twice"
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, nil, transportError(err, settle, "%s %s", method, c.base+path)
+		return nil, nil, transportError(err, unknownRemedy, "%s %s", method, c.base+path)
 	}
 	defer response.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return nil, nil, transportError(err, settle, "response to %s %s", method, c.base+path)
+		return nil, nil, transportError(err, unknownRemedy, "response to %s %s", method, c.base+path)
 	}
 	return response, raw, nil
 }
--- a/operatorclient/client_test.go
+++ b/operatorclient/client_test.go
@@ -15,11 +15,11 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// TestErrorWithoutResponse guards against a lost response that looks like a change that did not happen, and against a
-// refused connection that looks like one that may have.
+// TestErrorWithoutResponse guards against two wrong errors: a lost response reported as a change that did not happen,
+// and a refused connection reported as a change that may have happened.
 func TestErrorWithoutResponse(t *testing.T) {
-	var calls atomic.Int32
-	answers := map[string]http.HandlerFunc{
+	var requests atomic.Int32
+	handlers := map[string]http.HandlerFunc{
 		"connection lost": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		"response cut off": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
@@ -28,12 +28,12 @@
 			panic(http.ErrAbortHandler)
 		},
 	}
-	for name, answer := range answers {
+	for name, handler := range handlers {
 		t.Run(name, func(t *testing.T) {
-			calls.Store(0)
+			requests.Store(0)
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				calls.Add(1)
-				answer(w, r)
+				requests.Add(1)
+				handler(w, r)
 			}))
 			defer server.Close()
 			client := New(server.Listener.Addr().String(), "t", time.Second)
@@ -44,8 +44,8 @@
 			if _, err := client.Status(context.Background()); !errkind.Is(err, errkind.Unavailable) {
 				t.Errorf("read: got %v", err)
 			}
-			if calls.Load() != 2 {
-				t.Errorf("2 calls were sent %d times", calls.Load())
+			if requests.Load() != 2 {
+				t.Errorf("2 requests arrived %d times", requests.Load())
 			}
 		})
 	}
@@ -56,11 +56,12 @@
 		t.Errorf("no listener: got %v", err)
 	}
 	if _, err := NewCaller(address, "t", time.Second).Send(context.Background(), ServiceRequest{Method: "POST"}); !errkind.Is(err, errkind.Unavailable) {
-		t.Errorf("no caller listener: got %v", err)
+		t.Errorf("no listener of the caller API: got %v", err)
 	}
 }
 
-// TestGuaranteeEdits guards against a guarantee that is added twice or takes others with it.
+// TestGuaranteeEdits guards against an edit that duplicates a guarantee, removes others than the matching ones, or
+// modifies the document that it was computed from.
 func TestGuaranteeEdits(t *testing.T) {
 	shape := func(members int) resource.Shape {
 		return resource.Shape{Members: members, Adjacency: resource.AdjacencyRack}
@@ -87,27 +88,28 @@
 			if err != nil || len(ops) != 1 || ops[0].Path != "accounts/a" {
 				t.Fatalf("got error %v, ops %+v", err, ops)
 			}
-			if got := guarantees(t, ops[0]); got != c.want {
+			if got := guaranteesOf(t, ops[0]); got != c.want {
 				t.Errorf("got %s, want %s", got, c.want)
 			}
-			if got := guaranteeText(doc.Accounts["a"].Guarantees); got != "fd-a:1x1 fd-a:2x1 fd-b:1x1 " {
-				t.Errorf("the document that was read changed: %s", got)
+			if got := formatGuarantees(doc.Accounts["a"].Guarantees); got != "fd-a:1x1 fd-a:2x1 fd-b:1x1 " {
+				t.Errorf("the edit changed its input document: %s", got)
 			}
 		})
 	}
 }
 
-// guarantees returns the guarantees that an op sets, in one line.
-func guarantees(t *testing.T, op Op) string {
+// guaranteesOf returns the guarantees that an op sets, formatted by formatGuarantees.
+func guaranteesOf(t *testing.T, op Op) string {
 	t.Helper()
 	var a config.Account
 	if err := json.Unmarshal(op.Value, &a); err != nil {
 		t.Fatal(err)
 	}
-	return guaranteeText(a.Guarantees)
+	return formatGuarantees(a.Guarantees)
 }
 
-func guaranteeText(list []config.Guarantee) string {
+// formatGuarantees formats guarantees in one line, each as FAILURE-DOMAIN:MEMBERSxCOUNT.
+func formatGuarantees(list []config.Guarantee) string {
 	text := ""
 	for _, g := range list {
 		text += fmt.Sprintf("%s:%dx%d ", g.FailureDomain, g.Shape.Members, g.Count)
--- a/operatorclient/edit.go
+++ b/operatorclient/edit.go
@@ -12,11 +12,12 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// Edit returns the ops that make a change of doc. It does not change doc.
+// Edit returns the ops of a change to doc. It does not modify doc.
 type Edit func(doc *Document) ([]Op, error)
 
-// Change reads the version in force, makes a patch on it and submits it. The patch is not made again after a conflict,
-// since the operator has to see what it lost to. The patch is returned with any outcome, so that it can be settled.
+// Change reads the version in force, builds a patch against it and submits the patch. It does not retry after a conflict,
+// because the operator should first see the change that won. The submitted patch is returned with every outcome, so that
+// its decision can be looked up later.
 func (c *Client) Change(ctx context.Context, author, reason string, edit Edit) (Patch, Decision, error) {
 	doc, err := c.Document(ctx, nil)
 	if err != nil {
@@ -31,91 +32,92 @@
 	return patch, decision, err
 }
 
-// set returns the op that sets the item at path.
-func set(path string, item any) ([]Op, error) {
+// setOp returns the op that sets the item at path, as a list of one.
+func setOp(path string, item any) ([]Op, error) {
 	value, err := json.Marshal(item)
 	if err != nil {
-		return nil, errkind.Wrap(err, errkind.Internal, "report this", "value of %s", path)
+		return nil, errkind.Wrap(err, errkind.Internal, "report this", "cannot encode the value of %s", path)
 	}
 	return []Op{{Op: config.OpSet, Path: path, Value: value}}, nil
 }
 
-// CreateAccount adds an account.
+// CreateAccount returns the edit that adds an account. The edit fails if an account of that name exists.
 func CreateAccount(account config.Account) Edit {
 	return func(doc *Document) ([]Op, error) {
 		if _, ok := doc.Accounts[account.Name]; ok {
 			return nil, errkind.New(errkind.Conflict, "choose another name or remove the account first",
 				"account %q exists in version %d", account.Name, doc.Version)
 		}
-		return set("accounts/"+account.Name, account)
+		return setOp("accounts/"+account.Name, account)
 	}
 }
 
-// RemoveAccount removes an account with its guarantees.
+// RemoveAccount returns the edit that removes an account and its guarantees.
 func RemoveAccount(name string) Edit {
 	return func(doc *Document) ([]Op, error) {
-		if _, err := account(doc, name); err != nil {
+		if _, err := findAccount(doc, name); err != nil {
 			return nil, err
 		}
 		return []Op{{Op: config.OpRemove, Path: "accounts/" + name}}, nil
 	}
 }
 
-// SetGuarantee promises g to an account. It replaces the guarantee of the same failure domain and shape.
+// SetGuarantee returns the edit that gives an account the guarantee g. It replaces the account's guarantee of the same
+// failure domain and shape, if there is one.
 func SetGuarantee(name string, g config.Guarantee) Edit {
 	return func(doc *Document) ([]Op, error) {
-		a, err := account(doc, name)
+		a, err := findAccount(doc, name)
 		if err != nil {
 			return nil, err
 		}
-		kept := slices.DeleteFunc(slices.Clone(a.Guarantees), func(old config.Guarantee) bool {
-			return old.FailureDomain == g.FailureDomain && old.Shape == g.Shape
+		remaining := slices.DeleteFunc(slices.Clone(a.Guarantees), func(existing config.Guarantee) bool {
+			return existing.FailureDomain == g.FailureDomain && existing.Shape == g.Shape
 		})
-		a.Guarantees = append(kept, g)
-		return set("accounts/"+name, a)
+		a.Guarantees = append(remaining, g)
+		return setOp("accounts/"+name, a)
 	}
 }
 
-// RemoveGuarantee takes the guarantees of an account in a failure domain back: those of the shape, or all if shape is
-// nil.
+// RemoveGuarantee returns the edit that removes the guarantees of an account in a failure domain: those of the shape, or
+// all if shape is nil.
 func RemoveGuarantee(name, failureDomain string, shape *resource.Shape) Edit {
 	return func(doc *Document) ([]Op, error) {
-		a, err := account(doc, name)
+		a, err := findAccount(doc, name)
 		if err != nil {
 			return nil, err
 		}
-		kept := slices.DeleteFunc(slices.Clone(a.Guarantees), func(old config.Guarantee) bool {
-			return old.FailureDomain == failureDomain && (shape == nil || old.Shape == *shape)
+		remaining := slices.DeleteFunc(slices.Clone(a.Guarantees), func(existing config.Guarantee) bool {
+			return existing.FailureDomain == failureDomain && (shape == nil || existing.Shape == *shape)
 		})
-		if len(kept) == len(a.Guarantees) {
+		if len(remaining) == len(a.Guarantees) {
 			return nil, errkind.New(errkind.NotFound, "run redwingctl account list",
-				"account %q has no such guarantee in failure domain %q", name, failureDomain)
+				"account %q has no matching guarantee in failure domain %q", name, failureDomain)
 		}
-		a.Guarantees = kept
-		return set("accounts/"+name, a)
+		a.Guarantees = remaining
+		return setOp("accounts/"+name, a)
 	}
 }
 
-// StartDrain asks for a VM or worker to be emptied.
-func StartDrain(vm, reason string) Edit {
-	return func(*Document) ([]Op, error) { return set("drains/"+vm, config.Drain{VM: vm, Reason: reason}) }
+// StartDrain returns the edit that drains a VM or worker.
+func StartDrain(name, reason string) Edit {
+	return func(*Document) ([]Op, error) { return setOp("drains/"+name, config.Drain{VM: name, Reason: reason}) }
 }
 
-// StopDrain lets a drained VM or worker take work again.
-func StopDrain(vm string) Edit {
+// StopDrain returns the edit that ends the drain of a VM or worker, so that it accepts work again.
+func StopDrain(name string) Edit {
 	return func(doc *Document) ([]Op, error) {
-		if _, ok := doc.Drains[vm]; !ok {
-			return nil, errkind.New(errkind.NotFound, "run redwingctl config show", "VM %q is not drained in version %d",
-				vm, doc.Version)
+		if _, ok := doc.Drains[name]; !ok {
+			return nil, errkind.New(errkind.NotFound, "run redwingctl config show", "%q is not drained in version %d",
+				name, doc.Version)
 		}
-		return []Op{{Op: config.OpRemove, Path: "drains/" + vm}}, nil
+		return []Op{{Op: config.OpRemove, Path: "drains/" + name}}, nil
 	}
 }
 
-func account(doc *Document, name string) (config.Account, error) {
+func findAccount(doc *Document, name string) (config.Account, error) {
 	a, ok := doc.Accounts[name]
 	if !ok {
-		return a, errkind.New(errkind.NotFound, "run redwingctl account list", "account %q is not in version %d", name,
+		return a, errkind.New(errkind.NotFound, "run redwingctl account list", "account %q does not exist in version %d", name,
 			doc.Version)
 	}
 	return a, nil
--- a/operatorclient/token.go
+++ b/operatorclient/token.go
@@ -7,13 +7,13 @@
 	"github.com/redwingthread/redwingthread/config"
 )
 
-// tokenBytes is the length of a random token before its hex encoding.
+// tokenBytes is the number of random bytes in a token, before hex encoding.
 const tokenBytes = 32
 
-// NewToken returns a random bearer token and its digest, which is what the configuration keeps.
+// NewToken returns a random bearer token and its digest. The configuration stores only the digest.
 func NewToken() (token, digest string) {
 	raw := make([]byte, tokenBytes)
-	// Read of crypto/rand fills raw or ends the program.
+	// rand.Read never returns an error; it crashes the program if no randomness is available.
 	_, _ = rand.Read(raw)
 	token = hex.EncodeToString(raw)
 	return token, config.TokenDigest(token)
--- a/operatorclient/types.go
+++ b/operatorclient/types.go
@@ -6,28 +6,28 @@
 	"github.com/redwingthread/redwingthread/operatorapi"
 )
 
-// The wire types that the packages of the configuration and of the operator API define.
+// Types of request and response bodies, defined in the packages config, configlog and operatorapi.
 type (
-	// Op changes one item of the configuration document.
+	// Op is a change to one item of the configuration document.
 	Op = config.Op
-	// Patch is a change against a numbered version of the configuration.
+	// Patch is a change to a given version of the configuration.
 	Patch = config.Patch
 	// Document is the configuration document.
 	Document = config.Document
-	// Decision is what became of a patch, withdrawal or initialise record.
+	// Decision is the outcome of a patch, a withdrawal or an initialisation.
 	Decision = configlog.Decision
-	// LogEntry is a decision with one line for each field that it changed.
+	// LogEntry is a decision in the configuration log, with one line for each changed field.
 	LogEntry = operatorapi.LogEntry
-	// FollowerStatus is what a gateway knows about its own copy of the configuration.
+	// FollowerStatus is the status of a gateway's own copy of the configuration.
 	FollowerStatus = configlog.Status
-	// PlanResult is what a patch would change.
+	// PlanResult lists the changes that a patch would make.
 	PlanResult = operatorapi.PlanResult
-	// ConfigStatus is the configuration in force on the answering gateway and on every entry VM.
+	// ConfigStatus is the configuration in force on the responding gateway and on every entry VM.
 	ConfigStatus = operatorapi.StatusResult
-	// Health is the health of the answering gateway and what it sees of the others.
+	// Health is the health of the responding gateway and of its peers as the gateway observes them.
 	Health = operatorapi.HealthResult
-	// JobOutcome is the answer to a submission or cancellation.
+	// JobOutcome is the response to a submission or cancellation.
 	JobOutcome = operatorapi.JobResult
-	// Why tells what a job waits for.
+	// Why is the reason for the state of a job.
 	Why = operatorapi.WhyResult
 )
