--- a/cmd/redwingctl/account.go
+++ b/cmd/redwingctl/account.go
@@ -38,87 +38,88 @@
 	Account string `json:"account"`
 	Version uint64 `json:"version"`
 	Patch   string `json:"patch"`
-	// Token is empty if the digest was given.
+	// Token is empty if the token digest was given with -token-digest.
 	Token string `json:"token,omitempty"`
 }
 
-func accountCreate(f *flag.FlagSet) func(*call) error {
-	var by authorship
-	by.declare(f)
+func accountCreate(f *flag.FlagSet) func(*invocation) error {
+	var change changeFlags
+	change.declare(f)
 	var a config.Account
 	f.IntVar(&a.Weight, "weight", 1, "share of the request queues, 1 or more")
 	f.IntVar(&a.Quota, "quota", 0, "bound of `accelerators` in use in one failure domain, 0 for none")
 	f.IntVar(&a.RetryBudgetPercent, "retry-budget", 0, "bound of retries in `percent` of first attempts, 0 for the default")
 	f.StringVar(&a.TokenDigest, "token-digest", "", "`digest` of a token that exists, from redwingctl token new")
-	return func(c *call) error {
-		if err := c.want("NAME"); err != nil {
+	return func(inv *invocation) error {
+		if err := inv.checkArgs("NAME"); err != nil {
 			return err
 		}
-		created := createdAccount{Account: c.args[0]}
-		a.Name = c.args[0]
+		created := createdAccount{Account: inv.args[0]}
+		a.Name = inv.args[0]
 		if a.TokenDigest == "" {
 			created.Token, a.TokenDigest = operatorclient.NewToken()
 		}
-		patch, decision, err := c.submitEdit(by, operatorclient.CreateAccount(a))
+		patch, decision, err := inv.submitEdit(change, operatorclient.CreateAccount(a))
 		if err != nil {
 			return err
 		}
 		created.Version, created.Patch = decision.Version, patch.ID
-		return c.print(created, func() {
-			c.pairs([2]string{"account", created.Account}, [2]string{"version", fmt.Sprint(created.Version)},
+		return inv.print(created, func() {
+			inv.fields([2]string{"account", created.Account}, [2]string{"version", fmt.Sprint(created.Version)},
 				[2]string{"patch", created.Patch}, [2]string{"token", created.Token})
 		})
 	}
 }
 
-// submitEdit makes a change on the version in force and submits it.
-func (c *call) submitEdit(by authorship, edit operatorclient.Edit) (operatorclient.Patch, operatorclient.Decision, error) {
+// submitEdit applies an edit to the version in force and submits it as a patch.
+func (inv *invocation) submitEdit(change changeFlags, edit operatorclient.Edit) (operatorclient.Patch, operatorclient.Decision, error) {
 	var none operatorclient.Decision
-	if err := by.check(); err != nil {
+	if err := change.check(); err != nil {
 		return operatorclient.Patch{}, none, err
 	}
-	client, err := c.client()
+	client, err := inv.client()
 	if err != nil {
 		return operatorclient.Patch{}, none, err
 	}
-	return client.Change(c.ctx, by.author, by.reason, edit)
+	return client.Change(inv.ctx, change.author, change.reason, edit)
 }
 
-// change makes a change and prints its decision.
-func (c *call) change(by authorship, edit operatorclient.Edit) error {
-	_, decision, err := c.submitEdit(by, edit)
+// submitAndPrint submits an edit and prints the decision about it.
+func (inv *invocation) submitAndPrint(change changeFlags, edit operatorclient.Edit) error {
+	_, decision, err := inv.submitEdit(change, edit)
 	if err != nil {
 		return err
 	}
-	return c.decision(decision)
+	return inv.decision(decision)
 }
 
-func accountRemove(f *flag.FlagSet) func(*call) error {
-	var by authorship
-	by.declare(f)
-	return func(c *call) error {
-		if err := c.want("NAME"); err != nil {
+func accountRemove(f *flag.FlagSet) func(*invocation) error {
+	var change changeFlags
+	change.declare(f)
+	return func(inv *invocation) error {
+		if err := inv.checkArgs("NAME"); err != nil {
 			return err
 		}
-		return c.change(by, operatorclient.RemoveAccount(c.args[0]))
+		return inv.submitAndPrint(change, operatorclient.RemoveAccount(inv.args[0]))
 	}
 }
 
-func accountList(*flag.FlagSet) func(*call) error {
-	return func(c *call) error {
-		client, err := c.clientFor()
+func accountList(*flag.FlagSet) func(*invocation) error {
+	return func(inv *invocation) error {
+		client, err := inv.clientWithArgs()
 		if err != nil {
 			return err
 		}
-		doc, err := client.Document(c.ctx, nil)
+		doc, err := client.Document(inv.ctx, nil)
 		if err != nil {
 			return err
 		}
-		return c.print(doc.Accounts, func() { c.accountTable(doc) })
+		return inv.print(doc.Accounts, func() { inv.accountTable(doc) })
 	}
 }
 
-func (c *call) accountTable(doc *operatorclient.Document) {
+// accountTable writes the accounts, sorted by name, with one line for each guarantee.
+func (inv *invocation) accountTable(doc *operatorclient.Document) {
 	names := make([]string, 0, len(doc.Accounts))
 	for name := range doc.Accounts {
 		names = append(names, name)
@@ -132,18 +133,18 @@
 			if i > 0 {
 				row = []string{"", "", "", ""}
 			}
-			row[3] = fmt.Sprintf("%d x %s in %s", g.Count, shapeText(g.Shape), g.FailureDomain)
+			row[3] = fmt.Sprintf("%d x %s in %s", g.Count, formatShape(g.Shape), g.FailureDomain)
 			rows = append(rows, row)
 		}
 		if len(a.Guarantees) == 0 {
 			rows = append(rows, row)
 		}
 	}
-	c.columns([]string{"ACCOUNT", "WEIGHT", "QUOTA", "GUARANTEES"}, rows)
+	inv.columns([]string{"ACCOUNT", "WEIGHT", "QUOTA", "GUARANTEES"}, rows)
 }
 
-// shapeText returns a shape in a few words.
-func shapeText(s resource.Shape) string {
+// formatShape describes a shape in one line of text.
+func formatShape(s resource.Shape) string {
 	p := s.PerMember
 	return fmt.Sprintf("%d of %d accelerators, %dm CPU, %d MB, adjacency %s", s.Members, p.Accelerators, p.MilliCPU,
 		p.MemoryMB, s.Adjacency)
--- a/cmd/redwingctl/api_test.go
+++ b/cmd/redwingctl/api_test.go
@@ -19,29 +19,30 @@
 	"github.com/redwingthread/redwingthread/standin"
 )
 
-// oneVM is a deployment whose only entry VM answers the operator API.
-type oneVM struct{ follower *configlog.Follower }
+// singleVM implements the peers and jobs of the operator API for a deployment in which only vm-1 responds. It does not
+// run jobs.
+type singleVM struct{ follower *configlog.Follower }
 
-func (o oneVM) ConfigStatus(context.Context) []operatorapi.VMStatus {
-	s := o.follower.Status()
+func (vm singleVM) ConfigStatus(context.Context) []operatorapi.VMStatus {
+	s := vm.follower.Status()
 	return []operatorapi.VMStatus{{VM: "vm-1", Known: true, Version: s.Version}, {VM: "vm-2"}}
 }
-func (oneVM) Health(context.Context) []operatorapi.PeerHealth { return nil }
-func (oneVM) ActiveSchedulers(context.Context) map[string]string {
+func (singleVM) Health(context.Context) []operatorapi.PeerHealth { return nil }
+func (singleVM) ActiveSchedulers(context.Context) map[string]string {
 	return map[string]string{"fd-a": "vm-1"}
 }
-func (oneVM) Submit(_ context.Context, j jobs.Job) (jobs.Status, error) {
+func (singleVM) Submit(_ context.Context, j jobs.Job) (jobs.Status, error) {
 	return jobs.Status{Job: j, State: jobs.StateWaiting, Reason: "waits for test"}, nil
 }
-func (oneVM) Cancel(context.Context, string) (jobs.Status, error) {
+func (singleVM) Cancel(context.Context, string) (jobs.Status, error) {
 	return jobs.Status{}, errkind.New(errkind.Unavailable, "retry", "no scheduler")
 }
-func (oneVM) Get(_ context.Context, id string) (jobs.Status, error) {
+func (singleVM) Get(_ context.Context, id string) (jobs.Status, error) {
 	return jobs.Status{Job: jobs.Job{ID: id, Account: "mill"}, State: jobs.StateWaiting, Reason: "waits for test"}, nil
 }
-func (oneVM) List(context.Context, string, jobs.State) ([]jobs.Status, error) { return nil, nil }
+func (singleVM) List(context.Context, string, jobs.State) ([]jobs.Status, error) { return nil, nil }
 
-// deployment is the operator API over a follower of a stand-in log.
+// deployment serves the operator API with a configuration follower that reads a stand-in log.
 type deployment struct {
 	t       *testing.T
 	log     *standin.Log
@@ -61,14 +62,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = follower.Run(ctx) }()
-	// A configuration can be initialised only after the follower has read the log to its end.
+	// The configuration can be initialised only after the follower has read the log to its end.
 	for range 500 {
 		if follower.Status().LogReachable {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	vm := oneVM{follower}
+	vm := singleVM{follower}
 	api := httptest.NewServer(operatorapi.New(operatorapi.Settings{
 		Configuration: follower, Jobs: vm, Peers: vm, BootstrapTokenDigest: config.TokenDigest("first"),
 		Timeout: 2 * time.Second,
@@ -83,21 +84,21 @@
 	return &deployment{t: t, log: log, address: api.Listener.Addr().String(), token: "first"}
 }
 
-// ctl runs a command line, checks its exit code and returns its output.
+// ctl runs redwingctl with a command line, checks the exit code and returns standard output and standard error.
 func (d *deployment) ctl(code int, line string) string {
 	d.t.Helper()
 	env := map[string]string{addressVariable: d.address, tokenVariable: d.token}
 	var stdout, stderr bytes.Buffer
 	e := &environment{ctx: context.Background(), stdin: strings.NewReader(""), stdout: &stdout, stderr: &stderr,
 		getenv: func(name string) string { return env[name] }}
-	if got := e.run(commands(), words(line)); got != code {
+	if got := e.run(commands(), splitWords(line)); got != code {
 		d.t.Fatalf("%s: got code %d, want %d; %s%s", line, got, code, stdout.String(), stderr.String())
 	}
 	return stdout.String() + stderr.String()
 }
 
-// write writes a file and returns its path.
-func (d *deployment) write(text string) string {
+// writeFile writes text to a temporary file and returns its path.
+func (d *deployment) writeFile(text string) string {
 	d.t.Helper()
 	path := filepath.Join(d.t.TempDir(), "file.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -106,8 +107,9 @@
 	return path
 }
 
-func (d *deployment) document() string {
-	return d.write(`{"failure_domains":{"fd-a":{"name":"fd-a","region":"north"}},
+// writeDocument writes an initial configuration document to a file and returns its path.
+func (d *deployment) writeDocument() string {
+	return d.writeFile(`{"failure_domains":{"fd-a":{"name":"fd-a","region":"north"}},
 		"workers":{"w-1":{"id":"w-1","failure_domain":"fd-a","rack":"r","address":"127.0.0.1:1",
 			"capacity":{"accelerators":8,"milli_cpu":8000,"memory_mb":8000}}},
 		"accounts":{},"services":{},"drains":{},
@@ -117,11 +119,11 @@
 			"per_member":{"accelerators":8,"milli_cpu":8000,"memory_mb":8000},"adjacency":"none"}}}`)
 }
 
-// TestAgainstOperatorAPI guards against a command that the operator API does not understand, or whose answer the
-// command does not.
+// TestAgainstOperatorAPI guards against a mismatch between redwingctl and the operator API: a request that the API
+// rejects, or a response that the command cannot interpret.
 func TestAgainstOperatorAPI(t *testing.T) {
 	d := newDeployment(t)
-	file := d.document()
+	file := d.writeDocument()
 	d.ctl(0, "config status")
 	d.ctl(0, "config init "+file)
 	d.token = "ana-token"
@@ -164,15 +166,15 @@
 	d.ctl(3, "config show")
 }
 
-// TestLogFaults guards against a lost response or an outage that is reported as a refusal, and against a patch that
-// cannot be settled afterwards.
+// TestLogFaults guards against a lost response or an outage of the log that is reported as a refusal, and against a patch
+// whose decision cannot be looked up afterwards.
 func TestLogFaults(t *testing.T) {
 	d := newDeployment(t)
-	d.ctl(0, "config init "+d.document())
+	d.ctl(0, "config init "+d.writeDocument())
 	d.token = "ana-token"
 	d.log.SetFaults(standin.LogFaults{LoseResponses: 1})
 	d.ctl(0, "account create mill -author ana -reason trial")
-	patch := d.write(`{"id":"late","base":1,"author":"ana","reason":"trial","ops":[{"op":"set","path":"drains/w-1","value":{"vm":"w-1"}}]}`)
+	patch := d.writeFile(`{"id":"late","base":1,"author":"ana","reason":"trial","ops":[{"op":"set","path":"drains/w-1","value":{"vm":"w-1"}}]}`)
 	down := standin.LogFaults{}
 	down.Down = true
 	d.log.SetFaults(down)
--- a/cmd/redwingctl/command.go
+++ b/cmd/redwingctl/command.go
@@ -15,19 +15,19 @@
 	"github.com/redwingthread/redwingthread/operatorclient"
 )
 
-// command is one verb of the program.
+// command is one subcommand of redwingctl.
 type command struct {
-	// name is one or two words, such as "account create".
+	// name has one or two words, such as "account create".
 	name string
 	// arguments describes the positional arguments, such as "NAME".
 	arguments string
 	summary   string
 	examples  []string
-	// setup declares the flags and returns the function that runs the command after they were parsed.
-	setup func(f *flag.FlagSet) func(c *call) error
+	// setup declares the flags of the command and returns the function that runs it once they are parsed.
+	setup func(f *flag.FlagSet) func(inv *invocation) error
 }
 
-// environment is what the program uses of its process.
+// environment holds the parts of the process that commands use, so that tests can replace them.
 type environment struct {
 	ctx    context.Context
 	stdin  io.Reader
@@ -36,14 +36,14 @@
 	getenv func(string) string
 }
 
-// call is one run of a command.
-type call struct {
+// invocation is one run of a command.
+type invocation struct {
 	*environment
 	args    []string
 	options options
 }
 
-// options holds the flags that all commands have.
+// options holds the flags that are common to all commands.
 type options struct {
 	address   string
 	tokenFile string
@@ -51,7 +51,7 @@
 	timeout   time.Duration
 }
 
-// Names of environment variables and formats of the output.
+// Names of environment variables and output formats.
 const (
 	addressVariable = "REDWING_ADDR"
 	tokenVariable   = "REDWING_TOKEN"
@@ -60,7 +60,7 @@
 	outputJSON  = "json"
 )
 
-// Defaults of the flags.
+// Defaults of common flags.
 const (
 	defaultAddress = "127.0.0.1:8081"
 	defaultTimeout = 15 * time.Second
@@ -77,7 +77,7 @@
 	f.DurationVar(&o.timeout, "timeout", defaultTimeout, "bound of one call")
 }
 
-// run runs the command that args name and returns the exit code.
+// run executes the command that args select and returns the exit code.
 func (e *environment) run(all []command, args []string) int {
 	if len(args) == 0 {
 		programUsage(e.stderr, all)
@@ -87,40 +87,40 @@
 		programUsage(e.stdout, all)
 		return 0
 	}
-	selected, rest := find(all, args)
+	selected, rest := findCommand(all, args)
 	if selected == nil {
-		return e.fail(outputTable, errkind.New(errkind.BadInput, "run redwingctl -h for the commands", "unknown command %q",
+		return e.reportError(outputTable, errkind.New(errkind.BadInput, "run redwingctl -h for the commands", "unknown command %q",
 			strings.Join(args[:min(len(args), 2)], " ")))
 	}
 	var o options
 	f := newFlagSet(selected.name)
 	o.declare(f, e.getenv)
-	body := selected.setup(f)
-	positional, err := parse(f, rest)
+	execute := selected.setup(f)
+	positional, err := parseArgs(f, rest)
 	switch {
 	case errors.Is(err, flag.ErrHelp):
 		commandUsage(e.stdout, *selected, f)
 		return 0
 	case err != nil:
-		return e.fail(o.output, errkind.Wrap(err, errkind.BadInput, "run redwingctl "+selected.name+" -h", "flags"))
+		return e.reportError(o.output, errkind.Wrap(err, errkind.BadInput, "run redwingctl "+selected.name+" -h", "flags"))
 	case o.output != outputTable && o.output != outputJSON:
-		return e.fail(outputTable, errkind.New(errkind.BadInput, "use -o table or -o json", "output format %q", o.output))
+		return e.reportError(outputTable, errkind.New(errkind.BadInput, "use -o table or -o json", "unknown output format %q", o.output))
 	}
-	if err := body(&call{environment: e, args: positional, options: o}); err != nil {
-		return e.fail(o.output, err)
+	if err := execute(&invocation{environment: e, args: positional, options: o}); err != nil {
+		return e.reportError(o.output, err)
 	}
 	return 0
 }
 
-// newFlagSet returns a flag set that leaves the reporting of faults to its user.
+// newFlagSet returns a flag set for a command. It returns parse errors to its user and prints nothing.
 func newFlagSet(command string) *flag.FlagSet {
 	f := flag.NewFlagSet("redwingctl "+command, flag.ContinueOnError)
 	f.SetOutput(io.Discard)
 	return f
 }
 
-// find returns the command that args begin with and the rest of args; nil if there is none.
-func find(all []command, args []string) (*command, []string) {
+// findCommand returns the command whose name args begin with, and the remaining args. It returns nil if there is none.
+func findCommand(all []command, args []string) (*command, []string) {
 	for i, c := range all {
 		words := strings.Fields(c.name)
 		if len(args) >= len(words) && strings.Join(args[:len(words)], " ") == c.name {
@@ -130,9 +130,9 @@
 	return nil, nil
 }
 
-// parse parses flags before, between and after the positional arguments, which it returns. Everything after "--" is
-// positional.
-func parse(f *flag.FlagSet, args []string) ([]string, error) {
+// parseArgs parses flags that stand before, between or after positional arguments, and returns the positional arguments.
+// Everything after the first "--" is positional.
+func parseArgs(f *flag.FlagSet, args []string) ([]string, error) {
 	var positional, literal []string
 	for i, arg := range args {
 		if arg == "--" {
@@ -152,8 +152,8 @@
 	}
 }
 
-// fail reports err and returns its exit code.
-func (e *environment) fail(output string, err error) int {
+// reportError prints err to standard error in the output format and returns its exit code.
+func (e *environment) reportError(output string, err error) int {
 	typed := errkind.As(err)
 	if output == outputJSON {
 		line, _ := json.Marshal(typed)
@@ -164,62 +164,62 @@
 	return typed.Kind.ExitCode()
 }
 
-// want checks the number of positional arguments.
-func (c *call) want(names ...string) error {
-	if len(c.args) == len(names) {
+// checkArgs checks that there is one positional argument for each of names.
+func (inv *invocation) checkArgs(names ...string) error {
+	if len(inv.args) == len(names) {
 		return nil
 	}
-	return errkind.New(errkind.BadInput, "give exactly: "+strings.Join(names, " "), "%d arguments", len(c.args))
+	return errkind.New(errkind.BadInput, "give exactly: "+strings.Join(names, " "), "got %d arguments", len(inv.args))
 }
 
-// clientFor checks the number of positional arguments and returns a client of the operator API.
-func (c *call) clientFor(names ...string) (*operatorclient.Client, error) {
-	if err := c.want(names...); err != nil {
+// clientWithArgs checks that there is one positional argument for each of names and returns a client of the operator API.
+func (inv *invocation) clientWithArgs(names ...string) (*operatorclient.Client, error) {
+	if err := inv.checkArgs(names...); err != nil {
 		return nil, err
 	}
-	return c.client()
+	return inv.client()
 }
 
 // client returns a client of the operator API.
-func (c *call) client() (*operatorclient.Client, error) {
-	token, err := c.token()
+func (inv *invocation) client() (*operatorclient.Client, error) {
+	token, err := inv.token()
 	if err != nil {
 		return nil, err
 	}
-	return operatorclient.New(c.options.address, token, c.options.timeout), nil
+	return operatorclient.New(inv.options.address, token, inv.options.timeout), nil
 }
 
-// token returns the bearer token from the file or the environment.
-func (c *call) token() (string, error) {
-	if c.options.tokenFile == "" {
-		if token := c.getenv(tokenVariable); token != "" {
+// token returns the bearer token from the token file, or from the environment if no file is named.
+func (inv *invocation) token() (string, error) {
+	if inv.options.tokenFile == "" {
+		if token := inv.getenv(tokenVariable); token != "" {
 			return token, nil
 		}
-		return "", errkind.New(errkind.Unauthenticated, "set -token-file or "+tokenVariable, "no token")
+		return "", errkind.New(errkind.Unauthenticated, "set -token-file or "+tokenVariable, "no bearer token")
 	}
-	raw, err := os.ReadFile(c.options.tokenFile)
+	raw, err := os.ReadFile(inv.options.tokenFile)
 	if err != nil {
-		return "", errkind.Wrap(err, errkind.BadInput, "name a readable file with -token-file", "token file")
+		return "", errkind.Wrap(err, errkind.BadInput, "name a readable file with -token-file", "cannot read the token file")
 	}
 	token := strings.TrimSpace(string(raw))
 	if token == "" {
-		return "", errkind.New(errkind.BadInput, "write the token into it", "token file %s is empty", c.options.tokenFile)
+		return "", errkind.New(errkind.BadInput, "write the token to the file", "token file %s is empty", inv.options.tokenFile)
 	}
 	return token, nil
 }
 
-// authorship holds the flags of the commands that change the configuration.
-type authorship struct {
+// changeFlags holds the flags that every command that changes the configuration has.
+type changeFlags struct {
 	author string
 	reason string
 }
 
-func (a *authorship) declare(f *flag.FlagSet) {
+func (a *changeFlags) declare(f *flag.FlagSet) {
 	f.StringVar(&a.author, "author", "", "`name` of the operator who makes the change, required")
 	f.StringVar(&a.reason, "reason", "", "`text` that says why, required")
 }
 
-func (a *authorship) check() error {
+func (a *changeFlags) check() error {
 	if a.author == "" || a.reason == "" {
 		return errkind.New(errkind.BadInput, "set -author and -reason", "a change needs an author and a reason")
 	}
--- a/cmd/redwingctl/config.go
+++ b/cmd/redwingctl/config.go
@@ -14,7 +14,7 @@
 	"github.com/redwingthread/redwingthread/operatorclient"
 )
 
-// configCommands returns the commands that change the configuration or say what a change would do.
+// configCommands returns the commands that change the configuration or show what a change would do.
 func configCommands() []command {
 	return []command{
 		{
@@ -48,57 +48,57 @@
 	}
 }
 
-// readInput reads the file of the name, or standard input for "-".
-func (c *call) readInput(name string) ([]byte, error) {
+// readInput reads the named file, or standard input if name is "-".
+func (inv *invocation) readInput(name string) ([]byte, error) {
 	var raw []byte
 	var err error
 	if name == "-" {
-		raw, err = io.ReadAll(c.stdin)
+		raw, err = io.ReadAll(inv.stdin)
 	} else {
 		raw, err = os.ReadFile(name)
 	}
-	return raw, errkind.Wrap(err, errkind.BadInput, "name a readable file, or - for standard input", "file %s", name)
+	return raw, errkind.Wrap(err, errkind.BadInput, "name a readable file, or - for standard input", "cannot read file %s", name)
 }
 
-func configInit(*flag.FlagSet) func(*call) error {
-	return func(c *call) error {
-		if err := c.want("FILE"); err != nil {
+func configInit(*flag.FlagSet) func(*invocation) error {
+	return func(inv *invocation) error {
+		if err := inv.checkArgs("FILE"); err != nil {
 			return err
 		}
-		raw, err := c.readInput(c.args[0])
+		raw, err := inv.readInput(inv.args[0])
 		if err != nil {
 			return err
 		}
 		if !json.Valid(raw) {
-			return errkind.New(errkind.BadInput, "write a JSON document", "file %s is not JSON", c.args[0])
+			return errkind.New(errkind.BadInput, "write a JSON document", "file %s is not JSON", inv.args[0])
 		}
-		client, err := c.client()
+		client, err := inv.client()
 		if err != nil {
 			return err
 		}
-		decision, err := client.Init(c.ctx, raw)
+		decision, err := client.Init(inv.ctx, raw)
 		if err != nil {
 			return err
 		}
-		return c.decision(decision)
+		return inv.decision(decision)
 	}
 }
 
-// patchFlags holds the flags that complete a patch from a file.
+// patchFlags holds the flags that fill in fields which a patch file leaves out.
 type patchFlags struct {
-	by authorship
+	change changeFlags
 }
 
 func (p *patchFlags) declare(f *flag.FlagSet) {
-	f.StringVar(&p.by.author, "author", "", "`name` of the operator, if the file has none")
-	f.StringVar(&p.by.reason, "reason", "", "`text` that says why, if the file has none")
+	f.StringVar(&p.change.author, "author", "", "`name` of the operator, if the file has none")
+	f.StringVar(&p.change.reason, "reason", "", "`text` that says why, if the file has none")
 }
 
-// readPatch reads a patch. The base must be in the file, since it is the version that the author looked at; a missing
-// id is made up, so that the patch can be settled after a lost response.
-func (p *patchFlags) readPatch(c *call, name string) (operatorclient.Patch, error) {
+// readPatch reads a patch file. The file must contain the base, because only its author knows which version the patch was
+// written against. A patch without an id gets a random one, so that its decision can be looked up after a lost response.
+func (p *patchFlags) readPatch(inv *invocation, name string) (operatorclient.Patch, error) {
 	var patch operatorclient.Patch
-	raw, err := c.readInput(name)
+	raw, err := inv.readInput(name)
 	if err != nil {
 		return patch, err
 	}
@@ -106,7 +106,7 @@
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&patch); err != nil {
 		return patch, errkind.Wrap(err, errkind.BadInput,
-			`write {"base":N,"author":"...","reason":"...","ops":[{"op":"set","path":"...","value":{...}}]}`, "patch %s", name)
+			`write {"base":N,"author":"...","reason":"...","ops":[{"op":"set","path":"...","value":{...}}]}`, "cannot decode patch %s", name)
 	}
 	var base struct {
 		Base *uint64 `json:"base"`
@@ -116,98 +116,98 @@
 			"patch %s has no base", name)
 	}
 	if patch.Author == "" {
-		patch.Author = p.by.author
+		patch.Author = p.change.author
 	}
 	if patch.Reason == "" {
-		patch.Reason = p.by.reason
+		patch.Reason = p.change.reason
 	}
 	if patch.ID == "" {
 		patch.ID = uuid.NewString()
 	}
-	by := authorship{patch.Author, patch.Reason}
-	return patch, by.check()
+	change := changeFlags{patch.Author, patch.Reason}
+	return patch, change.check()
 }
 
-// prepare reads the patch file that the command names and returns a client to send the patch with.
-func (p *patchFlags) prepare(c *call) (*operatorclient.Client, operatorclient.Patch, error) {
-	if err := c.want("FILE"); err != nil {
+// prepare reads the patch file named on the command line. It returns the patch and a client to send it with.
+func (p *patchFlags) prepare(inv *invocation) (*operatorclient.Client, operatorclient.Patch, error) {
+	if err := inv.checkArgs("FILE"); err != nil {
 		return nil, operatorclient.Patch{}, err
 	}
-	patch, err := p.readPatch(c, c.args[0])
+	patch, err := p.readPatch(inv, inv.args[0])
 	if err != nil {
 		return nil, operatorclient.Patch{}, err
 	}
-	client, err := c.client()
+	client, err := inv.client()
 	return client, patch, err
 }
 
-func configPlan(f *flag.FlagSet) func(*call) error {
+func configPlan(f *flag.FlagSet) func(*invocation) error {
 	var flags patchFlags
 	flags.declare(f)
-	return func(c *call) error {
-		client, patch, err := flags.prepare(c)
+	return func(inv *invocation) error {
+		client, patch, err := flags.prepare(inv)
 		if err != nil {
 			return err
 		}
-		result, err := client.Plan(c.ctx, patch)
+		result, err := client.Plan(inv.ctx, patch)
 		if err != nil {
 			return err
 		}
-		return c.print(result, func() {
-			fmt.Fprintf(c.stdout, "version %d would become %d:\n", result.Base, result.Version)
-			c.lines(result.Summary)
+		return inv.print(result, func() {
+			fmt.Fprintf(inv.stdout, "version %d would become %d:\n", result.Base, result.Version)
+			inv.lines(result.Summary)
 		})
 	}
 }
 
-func configSubmit(f *flag.FlagSet) func(*call) error {
+func configSubmit(f *flag.FlagSet) func(*invocation) error {
 	var flags patchFlags
 	flags.declare(f)
-	return func(c *call) error {
-		client, patch, err := flags.prepare(c)
+	return func(inv *invocation) error {
+		client, patch, err := flags.prepare(inv)
 		if err != nil {
 			return err
 		}
-		decision, err := client.Submit(c.ctx, patch)
+		decision, err := client.Submit(inv.ctx, patch)
 		if err != nil {
 			return err
 		}
-		return c.decision(decision)
+		return inv.decision(decision)
 	}
 }
 
-func configSettle(*flag.FlagSet) func(*call) error {
-	return func(c *call) error {
-		client, err := c.clientFor("PATCH-ID")
+func configSettle(*flag.FlagSet) func(*invocation) error {
+	return func(inv *invocation) error {
+		client, err := inv.clientWithArgs("PATCH-ID")
 		if err != nil {
 			return err
 		}
-		decision, err := client.Settle(c.ctx, c.args[0])
+		decision, err := client.Settle(inv.ctx, inv.args[0])
 		if err != nil {
 			return err
 		}
-		return c.decision(decision)
+		return inv.decision(decision)
 	}
 }
 
-func configWithdraw(f *flag.FlagSet) func(*call) error {
-	var by authorship
-	by.declare(f)
-	return func(c *call) error {
-		if err := c.want("PATCH-ID"); err != nil {
+func configWithdraw(f *flag.FlagSet) func(*invocation) error {
+	var change changeFlags
+	change.declare(f)
+	return func(inv *invocation) error {
+		if err := inv.checkArgs("PATCH-ID"); err != nil {
 			return err
 		}
-		if err := by.check(); err != nil {
+		if err := change.check(); err != nil {
 			return err
 		}
-		client, err := c.client()
+		client, err := inv.client()
 		if err != nil {
 			return err
 		}
-		decision, err := client.Withdraw(c.ctx, c.args[0], by.author, by.reason)
+		decision, err := client.Withdraw(inv.ctx, inv.args[0], change.author, change.reason)
 		if err != nil {
 			return err
 		}
-		return c.decision(decision)
+		return inv.decision(decision)
 	}
 }
--- a/cmd/redwingctl/config_read.go
+++ b/cmd/redwingctl/config_read.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// versionRange holds the flags of a range of versions.
+// versionRange holds the flags that select a range of versions, both ends included.
 type versionRange struct {
 	from uint64
 	to   string
@@ -56,81 +56,82 @@
 	f.StringVar(&r.to, "to", "", "last `version` (default: the one in force)")
 }
 
-// optionalVersion parses a version; an empty text stands for the one in force.
-func optionalVersion(text string) (*uint64, error) {
+// parseVersion parses a version. It returns nil, which stands for the version in force, for an empty text.
+func parseVersion(text string) (*uint64, error) {
 	if text == "" {
 		return nil, nil
 	}
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return nil, errkind.Wrap(err, errkind.BadInput, "give a version number", "version %q", text)
+		return nil, errkind.Wrap(err, errkind.BadInput, "give a version number", "invalid version %q", text)
 	}
 	return &version, nil
 }
 
-// entries reads the log of changes of the range.
-func (r *versionRange) entries(c *call) ([]operatorclient.LogEntry, error) {
-	if err := c.want(); err != nil {
+// entries reads the configuration log of the range.
+func (r *versionRange) entries(inv *invocation) ([]operatorclient.LogEntry, error) {
+	if err := inv.checkArgs(); err != nil {
 		return nil, err
 	}
-	to, err := optionalVersion(r.to)
+	to, err := parseVersion(r.to)
 	if err != nil {
 		return nil, err
 	}
-	client, err := c.client()
+	client, err := inv.client()
 	if err != nil {
 		return nil, err
 	}
-	return client.Log(c.ctx, r.from, to)
+	return client.Log(inv.ctx, r.from, to)
 }
 
-func at(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
+// formatTime formats a time in milliseconds since the Unix epoch.
+func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
 
-func configLog(f *flag.FlagSet) func(*call) error {
+func configLog(f *flag.FlagSet) func(*invocation) error {
 	var r versionRange
 	r.declare(f)
-	return func(c *call) error {
-		entries, err := r.entries(c)
+	return func(inv *invocation) error {
+		entries, err := r.entries(inv)
 		if err != nil {
 			return err
 		}
-		return c.print(entries, func() {
+		return inv.print(entries, func() {
 			var rows [][]string
 			for _, d := range entries {
-				rows = append(rows, []string{fmt.Sprint(d.Version), string(d.Outcome), at(d.At), d.Author, d.ID, d.Reason})
+				rows = append(rows, []string{fmt.Sprint(d.Version), string(d.Outcome), formatTime(d.At), d.Author, d.ID, d.Reason})
 			}
-			c.columns([]string{"VERSION", "OUTCOME", "TIME", "AUTHOR", "PATCH", "REASON"}, rows)
+			inv.columns([]string{"VERSION", "OUTCOME", "TIME", "AUTHOR", "PATCH", "REASON"}, rows)
 		})
 	}
 }
 
-func configShow(f *flag.FlagSet) func(*call) error {
+func configShow(f *flag.FlagSet) func(*invocation) error {
 	text := f.String("version", "", "`version` to show (default: the one in force)")
-	return func(c *call) error {
-		if err := c.want(); err != nil {
+	return func(inv *invocation) error {
+		if err := inv.checkArgs(); err != nil {
 			return err
 		}
-		version, err := optionalVersion(*text)
+		version, err := parseVersion(*text)
 		if err != nil {
 			return err
 		}
-		client, err := c.client()
+		client, err := inv.client()
 		if err != nil {
 			return err
 		}
-		doc, err := client.Document(c.ctx, version)
+		doc, err := client.Document(inv.ctx, version)
 		if err != nil {
 			return err
 		}
-		return c.print(doc, func() {
-			encoder := json.NewEncoder(c.stdout)
+		return inv.print(doc, func() {
+			encoder := json.NewEncoder(inv.stdout)
 			encoder.SetIndent("", "  ")
 			_ = encoder.Encode(doc)
 		})
 	}
 }
 
-// diffResult is the result of config diff.
+// diffResult is the JSON output of config diff.
 type diffResult struct {
 	From    uint64              `json:"from"`
 	To      uint64              `json:"to"`
@@ -139,19 +140,19 @@
 	Summary []string `json:"summary"`
 }
 
-func configDiff(*flag.FlagSet) func(*call) error {
-	return func(c *call) error {
-		client, err := c.clientFor("FROM", "TO")
+func configDiff(*flag.FlagSet) func(*invocation) error {
+	return func(inv *invocation) error {
+		client, err := inv.clientWithArgs("FROM", "TO")
 		if err != nil {
 			return err
 		}
 		var documents [2]*operatorclient.Document
-		for i, text := range c.args {
-			version, err := optionalVersion(text)
+		for i, text := range inv.args {
+			version, err := parseVersion(text)
 			if err != nil {
 				return err
 			}
-			if documents[i], err = client.Document(c.ctx, version); err != nil {
+			if documents[i], err = client.Document(inv.ctx, version); err != nil {
 				return err
 			}
 		}
@@ -159,16 +160,16 @@
 		result := diffResult{
 			documents[0].Version, documents[1].Version, changes, config.Describe(documents[0], changes),
 		}
-		return c.print(result, func() { c.lines(result.Summary) })
+		return inv.print(result, func() { inv.lines(result.Summary) })
 	}
 }
 
-func configReplay(f *flag.FlagSet) func(*call) error {
+func configReplay(f *flag.FlagSet) func(*invocation) error {
 	var r versionRange
 	r.declare(f)
 	step := f.Bool("step", false, "wait for Enter after each change")
-	return func(c *call) error {
-		entries, err := r.entries(c)
+	return func(inv *invocation) error {
+		entries, err := r.entries(inv)
 		if err != nil {
 			return err
 		}
@@ -178,18 +179,18 @@
 				changes = append(changes, entry)
 			}
 		}
-		return c.print(changes, func() { c.replay(changes, *step) })
+		return inv.print(changes, func() { inv.replay(changes, *step) })
 	}
 }
 
-// replay prints the changes one by one; with step it waits for a line of input after each but the last.
-func (c *call) replay(changes []operatorclient.LogEntry, step bool) {
-	input := bufio.NewScanner(c.stdin)
+// replay prints the changes one by one. If step is set, it waits for a line of input after each change but the last.
+func (inv *invocation) replay(changes []operatorclient.LogEntry, step bool) {
+	input := bufio.NewScanner(inv.stdin)
 	for i, change := range changes {
-		fmt.Fprintf(c.stdout, "version %d  %s  %s\n  reason: %s\n", change.Version, at(change.At), change.Author, change.Reason)
-		c.lines(change.Summary)
+		fmt.Fprintf(inv.stdout, "version %d  %s  %s\n  reason: %s\n", change.Version, formatTime(change.At), change.Author, change.Reason)
+		inv.lines(change.Summary)
 		if len(change.Summary) == 0 && len(change.Ops) > 0 {
-			c.lines([]string{fmt.Sprintf("%d ops; the version before is not kept", len(change.Ops))})
+			inv.lines([]string{fmt.Sprintf("%d ops; the previous version is no longer kept", len(change.Ops))})
 		}
 		if step && i+1 < len(changes) && !input.Scan() {
 			return
@@ -197,29 +198,29 @@
 	}
 }
 
-func configStatus(*flag.FlagSet) func(*call) error {
-	return func(c *call) error {
-		client, err := c.clientFor()
+func configStatus(*flag.FlagSet) func(*invocation) error {
+	return func(inv *invocation) error {
+		client, err := inv.clientWithArgs()
 		if err != nil {
 			return err
 		}
-		status, err := client.Status(c.ctx)
+		status, err := client.Status(inv.ctx)
 		if err != nil {
 			return err
 		}
-		return c.print(status, func() {
-			c.follower(status.Self)
+		return inv.print(status, func() {
+			inv.followerFields(status.Self)
 			var rows [][]string
 			for _, vm := range status.VMs {
 				rows = append(rows, []string{vm.VM, vm.FailureDomain, fmt.Sprint(vm.Version), vm.Digest})
 			}
-			c.columns([]string{"VM", "FAILURE DOMAIN", "VERSION", "DIGEST"}, rows)
+			inv.columns([]string{"VM", "FAILURE DOMAIN", "VERSION", "DIGEST"}, rows)
 		})
 	}
 }
 
-// follower prints what the answering gateway knows about its own copy.
-func (c *call) follower(s operatorclient.FollowerStatus) {
+// followerFields prints the status of the responding gateway's own copy of the configuration.
+func (inv *invocation) followerFields(s operatorclient.FollowerStatus) {
 	version := "none"
 	if s.HasConfig {
 		version = fmt.Sprint(s.Version)
@@ -232,6 +233,6 @@
 	if s.Stopped != nil {
 		stopped = s.Stopped.Detail
 	}
-	c.pairs([2]string{"version here", version}, [2]string{"log", log}, [2]string{"stopped", stopped},
+	inv.fields([2]string{"version here", version}, [2]string{"log", log}, [2]string{"stopped", stopped},
 		[2]string{"alarm", s.Alarm})
 }
--- a/cmd/redwingctl/drain.go
+++ b/cmd/redwingctl/drain.go
@@ -23,15 +23,15 @@
 	}
 }
 
-func drainSetup(edit func(vm, reason string) operatorclient.Edit) func(*flag.FlagSet) func(*call) error {
-	return func(f *flag.FlagSet) func(*call) error {
-		var by authorship
-		by.declare(f)
-		return func(c *call) error {
-			if err := c.want("VM"); err != nil {
+func drainSetup(edit func(vm, reason string) operatorclient.Edit) func(*flag.FlagSet) func(*invocation) error {
+	return func(f *flag.FlagSet) func(*invocation) error {
+		var change changeFlags
+		change.declare(f)
+		return func(inv *invocation) error {
+			if err := inv.checkArgs("VM"); err != nil {
 				return err
 			}
-			return c.change(by, edit(c.args[0], by.reason))
+			return inv.submitAndPrint(change, edit(inv.args[0], change.reason))
 		}
 	}
 }
--- a/cmd/redwingctl/guarantee.go
+++ b/cmd/redwingctl/guarantee.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// shapeFlags holds the flags of a shape.
+// shapeFlags holds the flags that describe a shape.
 type shapeFlags struct {
 	shape     resource.Shape
 	adjacency string
@@ -44,63 +44,64 @@
 	f.StringVar(&s.adjacency, "adjacency", string(resource.AdjacencyNone), "none, rack or worker")
 }
 
-// value returns the shape, checked.
-func (s *shapeFlags) value() (resource.Shape, error) {
+// validShape returns the shape, or an error if it is not valid.
+func (s *shapeFlags) validShape() (resource.Shape, error) {
 	s.shape.Adjacency = resource.Adjacency(s.adjacency)
 	return s.shape, s.shape.Validate()
 }
 
-func guaranteeSet(f *flag.FlagSet) func(*call) error {
-	var by authorship
+func guaranteeSet(f *flag.FlagSet) func(*invocation) error {
+	var change changeFlags
 	var shape shapeFlags
 	var g config.Guarantee
-	by.declare(f)
+	change.declare(f)
 	shape.declare(f)
 	f.StringVar(&g.FailureDomain, "failure-domain", "", "`name` of the failure domain, required")
 	f.IntVar(&g.Count, "count", 1, "number of shapes that can be claimed at once")
-	return func(c *call) error {
-		if err := c.want("ACCOUNT"); err != nil {
+	return func(inv *invocation) error {
+		if err := inv.checkArgs("ACCOUNT"); err != nil {
 			return err
 		}
-		if err := needFailureDomain(g.FailureDomain); err != nil {
+		if err := requireFailureDomain(g.FailureDomain); err != nil {
 			return err
 		}
 		var err error
-		if g.Shape, err = shape.value(); err != nil {
+		if g.Shape, err = shape.validShape(); err != nil {
 			return err
 		}
-		return c.change(by, operatorclient.SetGuarantee(c.args[0], g))
+		return inv.submitAndPrint(change, operatorclient.SetGuarantee(inv.args[0], g))
 	}
 }
 
-func needFailureDomain(name string) error {
+// requireFailureDomain returns an error if name is empty.
+func requireFailureDomain(name string) error {
 	if name == "" {
 		return errkind.New(errkind.BadInput, "set -failure-domain", "no failure domain")
 	}
 	return nil
 }
 
-func guaranteeRemove(f *flag.FlagSet) func(*call) error {
-	var by authorship
-	var flags shapeFlags
-	by.declare(f)
-	flags.declare(f)
+func guaranteeRemove(f *flag.FlagSet) func(*invocation) error {
+	var change changeFlags
+	var shapeArgs shapeFlags
+	change.declare(f)
+	shapeArgs.declare(f)
 	failureDomain := f.String("failure-domain", "", "`name` of the failure domain, required")
-	return func(c *call) error {
-		if err := c.want("ACCOUNT"); err != nil {
+	return func(inv *invocation) error {
+		if err := inv.checkArgs("ACCOUNT"); err != nil {
 			return err
 		}
-		if err := needFailureDomain(*failureDomain); err != nil {
+		if err := requireFailureDomain(*failureDomain); err != nil {
 			return err
 		}
 		var shape *resource.Shape
-		if flags.shape.Members != 0 {
-			value, err := flags.value()
+		if shapeArgs.shape.Members != 0 {
+			validShape, err := shapeArgs.validShape()
 			if err != nil {
 				return err
 			}
-			shape = &value
+			shape = &validShape
 		}
-		return c.change(by, operatorclient.RemoveGuarantee(c.args[0], *failureDomain, shape))
+		return inv.submitAndPrint(change, operatorclient.RemoveGuarantee(inv.args[0], *failureDomain, shape))
 	}
 }
--- a/cmd/redwingctl/health.go
+++ b/cmd/redwingctl/health.go
@@ -18,42 +18,43 @@
 	}
 }
 
-func health(*flag.FlagSet) func(*call) error {
-	return func(c *call) error {
-		client, err := c.clientFor()
+func health(*flag.FlagSet) func(*invocation) error {
+	return func(inv *invocation) error {
+		client, err := inv.clientWithArgs()
 		if err != nil {
 			return err
 		}
-		h, err := client.Health(c.ctx)
+		h, err := client.Health(inv.ctx)
 		if err != nil {
 			return err
 		}
-		if err := c.print(h, func() { c.healthTable(h) }); err != nil {
+		if err := inv.print(h, func() { inv.healthTable(h) }); err != nil {
 			return err
 		}
 		if !h.Ready {
-			return errkind.New(errkind.Unavailable, "wait, or see its log", "the gateway is not ready")
+			return errkind.New(errkind.Unavailable, "wait, or check the log of the gateway", "the gateway is not ready")
 		}
 		return nil
 	}
 }
 
-func (c *call) healthTable(h operatorclient.Health) {
-	c.pairs([2]string{"ready", fmt.Sprint(h.Ready)})
-	c.follower(h.Configuration)
+// healthTable writes the health of the gateway and a table of its peers as text.
+func (inv *invocation) healthTable(h operatorclient.Health) {
+	inv.fields([2]string{"ready", fmt.Sprint(h.Ready)})
+	inv.followerFields(h.Configuration)
 	domains := make([]string, 0, len(h.ActiveSchedulers))
 	for domain := range h.ActiveSchedulers {
 		domains = append(domains, domain)
 	}
 	sort.Strings(domains)
 	for _, domain := range domains {
-		c.pairs([2]string{"active scheduler of " + domain, h.ActiveSchedulers[domain]})
+		inv.fields([2]string{"active scheduler of " + domain, h.ActiveSchedulers[domain]})
 	}
 	var rows [][]string
 	for _, p := range h.Peers {
 		rows = append(rows, []string{p.VM, p.FailureDomain, p.Role, peerState(p)})
 	}
-	c.columns([]string{"PEER", "FAILURE DOMAIN", "ROLE", "STATE"}, rows)
+	inv.columns([]string{"PEER", "FAILURE DOMAIN", "ROLE", "STATE"}, rows)
 }
 
 func peerState(p operatorapi.PeerHealth) string {
--- a/cmd/redwingctl/job.go
+++ b/cmd/redwingctl/job.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func jobSubmit(f *flag.FlagSet) func(*call) error {
+func jobSubmit(f *flag.FlagSet) func(*invocation) error {
 	var shape shapeFlags
 	var job jobs.Job
 	shape.declare(f)
@@ -57,43 +57,45 @@
 	f.BoolVar(&job.RunOnce, "run-once", false, "never start it twice")
 	f.BoolVar(&job.CanCheckpoint, "can-checkpoint", false, "its tasks save their progress before a stop")
 	f.Int64Var(&job.DeclaredRunSeconds, "run-seconds", 0, "estimate of its run time in `seconds`")
-	return func(c *call) error {
-		if len(c.args) == 0 {
-			return errkind.New(errkind.BadInput, "write it after --", "job without a command line")
+	return func(inv *invocation) error {
+		if len(inv.args) == 0 {
+			return errkind.New(errkind.BadInput, "write the command after --", "the job has no command")
 		}
 		var err error
-		if job.Shape, err = shape.value(); err != nil {
+		if job.Shape, err = shape.validShape(); err != nil {
 			return err
 		}
 		if job.ID == "" {
 			job.ID = uuid.NewString()
 		}
-		job.Run = c.args
-		client, err := c.client()
+		job.Run = inv.args
+		client, err := inv.client()
 		if err != nil {
 			return err
 		}
-		outcome, err := client.SubmitJob(c.ctx, job)
+		outcome, err := client.SubmitJob(inv.ctx, job)
 		if err != nil {
 			return err
 		}
-		return c.jobOutcome(outcome)
+		return inv.jobOutcome(outcome)
 	}
 }
 
-func (c *call) jobOutcome(o operatorclient.JobOutcome) error {
-	return c.print(o, func() {
-		c.pairs([2]string{"outcome", o.Outcome})
-		c.jobPairs(o.Job)
+// jobOutcome writes the outcome of a submission or cancellation and the job.
+func (inv *invocation) jobOutcome(o operatorclient.JobOutcome) error {
+	return inv.print(o, func() {
+		inv.fields([2]string{"outcome", o.Outcome})
+		inv.jobFields(o.Job)
 	})
 }
 
-func (c *call) jobPairs(s jobs.Status) {
-	c.pairs(
+// jobFields writes the state of a job as text.
+func (inv *invocation) jobFields(s jobs.Status) {
+	inv.fields(
 		[2]string{"job", s.Job.ID},
 		[2]string{"account", s.Job.Account},
 		[2]string{"failure domain", s.Job.FailureDomain},
-		[2]string{"shape", shapeText(s.Job.Shape)},
+		[2]string{"shape", formatShape(s.Job.Shape)},
 		[2]string{"state", string(s.State)},
 		[2]string{"attempt", fmt.Sprint(s.Attempt)},
 		[2]string{"reason", s.Reason},
@@ -101,58 +103,59 @@
 	)
 }
 
-func jobList(f *flag.FlagSet) func(*call) error {
+func jobList(f *flag.FlagSet) func(*invocation) error {
 	account := f.String("account", "", "only jobs of this account")
 	state := f.String("state", "", "only jobs in this state")
-	return func(c *call) error {
-		client, err := c.clientFor()
+	return func(inv *invocation) error {
+		client, err := inv.clientWithArgs()
 		if err != nil {
 			return err
 		}
-		list, err := client.Jobs(c.ctx, *account, jobs.State(*state))
+		list, err := client.Jobs(inv.ctx, *account, jobs.State(*state))
 		if err != nil {
 			return err
 		}
-		return c.print(list, func() {
+		return inv.print(list, func() {
 			var rows [][]string
 			for _, s := range list {
 				rows = append(rows, []string{s.Job.ID, s.Job.Account, s.Job.FailureDomain, string(s.State),
 					fmt.Sprint(s.Job.Shape.Members), fmt.Sprint(s.Job.Shape.PerMember.Accelerators), s.Reason})
 			}
-			c.columns([]string{"JOB", "ACCOUNT", "FAILURE DOMAIN", "STATE", "MEMBERS", "ACCELERATORS", "REASON"}, rows)
+			inv.columns([]string{"JOB", "ACCOUNT", "FAILURE DOMAIN", "STATE", "MEMBERS", "ACCELERATORS", "REASON"}, rows)
 		})
 	}
 }
 
-// waitInterval is the time between two looks at a job that is waited for.
+// waitInterval is the poll interval of job show -wait.
 const waitInterval = 200 * time.Millisecond
 
-func jobShow(f *flag.FlagSet) func(*call) error {
+func jobShow(f *flag.FlagSet) func(*invocation) error {
 	wait := f.String("wait", "", "wait until the job is in this `state`; the command fails if it ends in another")
-	bound := f.Duration("wait-timeout", time.Minute, "bound of -wait")
-	return func(c *call) error {
-		client, err := c.clientFor("ID")
+	timeout := f.Duration("wait-timeout", time.Minute, "bound of -wait")
+	return func(inv *invocation) error {
+		client, err := inv.clientWithArgs("ID")
 		if err != nil {
 			return err
 		}
 		var status jobs.Status
 		if *wait == "" {
-			status, err = client.Job(c.ctx, c.args[0])
+			status, err = client.Job(inv.ctx, inv.args[0])
 		} else {
-			status, err = c.waitFor(client, c.args[0], jobs.State(*wait), *bound)
+			status, err = inv.waitFor(client, inv.args[0], jobs.State(*wait), *timeout)
 		}
 		if err != nil {
 			return err
 		}
-		return c.print(status, func() { c.jobPairs(status) })
+		return inv.print(status, func() { inv.jobFields(status) })
 	}
 }
 
-// waitFor looks at a job until it is in the state. Unavailability meanwhile is waited out.
-func (c *call) waitFor(client *operatorclient.Client, id string, state jobs.State, bound time.Duration) (jobs.Status, error) {
-	end := time.Now().Add(bound)
+// waitFor polls a job until it is in the state, and returns an error once it has ended in another one or the timeout has
+// passed. Errors of kind errkind.Unavailable are retried until then.
+func (inv *invocation) waitFor(client *operatorclient.Client, id string, state jobs.State, timeout time.Duration) (jobs.Status, error) {
+	deadline := time.Now().Add(timeout)
 	for {
-		status, err := client.Job(c.ctx, id)
+		status, err := client.Job(inv.ctx, id)
 		switch {
 		case err != nil && !errkind.Is(err, errkind.Unavailable):
 			return status, err
@@ -161,42 +164,42 @@
 		case err == nil && status.State.Final():
 			return status, errkind.New(errkind.Conflict, "run redwingctl job show "+id, "job %s ended in state %s: %s", id,
 				status.State, status.Reason)
-		case time.Now().After(end):
+		case time.Now().After(deadline):
 			return status, errkind.New(errkind.DeadlineExceeded, "run redwingctl job why "+id,
-				"job %s is %q after %s", id, status.State, bound)
+				"job %s is in state %q after %s", id, status.State, timeout)
 		}
 		select {
-		case <-c.ctx.Done():
-			return status, errkind.Wrap(c.ctx.Err(), errkind.Unavailable, "run the command again", "wait for job %s", id)
+		case <-inv.ctx.Done():
+			return status, errkind.Wrap(inv.ctx.Err(), errkind.Unavailable, "run the command again", "interrupted while waiting for job %s", id)
 		case <-time.After(waitInterval):
 		}
 	}
 }
 
-func jobCancel(*flag.FlagSet) func(*call) error {
-	return func(c *call) error {
-		client, err := c.clientFor("ID")
+func jobCancel(*flag.FlagSet) func(*invocation) error {
+	return func(inv *invocation) error {
+		client, err := inv.clientWithArgs("ID")
 		if err != nil {
 			return err
 		}
-		outcome, err := client.CancelJob(c.ctx, c.args[0])
+		outcome, err := client.CancelJob(inv.ctx, inv.args[0])
 		if err != nil {
 			return err
 		}
-		return c.jobOutcome(outcome)
+		return inv.jobOutcome(outcome)
 	}
 }
 
-func jobWhy(*flag.FlagSet) func(*call) error {
-	return func(c *call) error {
-		client, err := c.clientFor("ID")
+func jobWhy(*flag.FlagSet) func(*invocation) error {
+	return func(inv *invocation) error {
+		client, err := inv.clientWithArgs("ID")
 		if err != nil {
 			return err
 		}
-		why, err := client.WhyJob(c.ctx, c.args[0])
+		why, err := client.WhyJob(inv.ctx, inv.args[0])
 		if err != nil {
 			return err
 		}
-		return c.print(why, func() { fmt.Fprintln(c.stdout, why.Why) })
+		return inv.print(why, func() { fmt.Fprintln(inv.stdout, why.Why) })
 	}
 }
--- a/cmd/redwingctl/local.go
+++ b/cmd/redwingctl/local.go
@@ -24,34 +24,35 @@
 	}
 }
 
-// settingsReport is the result of check-settings.
+// settingsReport is the JSON output of check-settings.
 type settingsReport struct {
 	File   string           `json:"file"`
 	OK     bool             `json:"ok"`
 	Faults []settings.Fault `json:"faults"`
 }
 
-func checkSettings(*flag.FlagSet) func(*call) error {
-	return func(c *call) error {
-		if err := c.want("gateway|scheduler", "FILE"); err != nil {
+func checkSettings(*flag.FlagSet) func(*invocation) error {
+	return func(inv *invocation) error {
+		if err := inv.checkArgs("gateway|scheduler", "FILE"); err != nil {
 			return err
 		}
-		path := c.args[1]
+		path := inv.args[1]
 		var err error
-		switch c.args[0] {
+		switch inv.args[0] {
 		case settings.RoleGateway:
 			_, err = settings.LoadGateway(path)
 		case settings.RoleScheduler:
 			_, err = settings.LoadScheduler(path)
 		default:
-			return errkind.New(errkind.BadInput, "use gateway or scheduler", "unknown daemon %q", c.args[0])
+			return errkind.New(errkind.BadInput, "use gateway or scheduler", "unknown daemon %q", inv.args[0])
 		}
-		return c.settingsReport(path, err)
+		return inv.settingsReport(path, err)
 	}
 }
 
-// settingsReport prints the faults that err holds and returns an error if there are any.
-func (c *call) settingsReport(path string, err error) error {
+// settingsReport writes the report about the settings file at path: the faults listed in err, or "ok" if err is nil. It
+// returns an error if there are faults. An err that is not a list of faults is returned unchanged.
+func (inv *invocation) settingsReport(path string, err error) error {
 	report := settingsReport{File: path, OK: err == nil, Faults: []settings.Fault{}}
 	var list *settings.FaultList
 	if errors.As(err, &list) {
@@ -59,12 +60,12 @@
 	} else if err != nil {
 		return err
 	}
-	if err := c.print(report, func() {
+	if err := inv.print(report, func() {
 		for _, fault := range report.Faults {
-			fmt.Fprintln(c.stdout, path+":", fault)
+			fmt.Fprintln(inv.stdout, path+":", fault)
 		}
 		if report.OK {
-			fmt.Fprintln(c.stdout, path+": ok")
+			fmt.Fprintln(inv.stdout, path+": ok")
 		}
 	}); err != nil {
 		return err
@@ -72,16 +73,16 @@
 	if report.OK {
 		return nil
 	}
-	return errkind.New(errkind.BadInput, "correct the lines", "settings file %s has %d faults", path, len(report.Faults))
+	return errkind.New(errkind.BadInput, "correct the reported lines", "settings file %s has %d faults", path, len(report.Faults))
 }
 
 func tokenCommand() command {
 	return command{
 		name: "token new", summary: "Prints a random token and its digest",
 		examples: []string{"token new", "token new -o json"},
-		setup: func(*flag.FlagSet) func(*call) error {
-			return func(c *call) error {
-				if err := c.want(); err != nil {
+		setup: func(*flag.FlagSet) func(*invocation) error {
+			return func(inv *invocation) error {
+				if err := inv.checkArgs(); err != nil {
 					return err
 				}
 				token, digest := operatorclient.NewToken()
@@ -89,7 +90,7 @@
 					Token  string `json:"token"`
 					Digest string `json:"digest"`
 				}{token, digest}
-				return c.print(result, func() { c.pairs([2]string{"token", token}, [2]string{"digest", digest}) })
+				return inv.print(result, func() { inv.fields([2]string{"token", token}, [2]string{"digest", digest}) })
 			}
 		},
 	}
@@ -103,28 +104,28 @@
 	}
 }
 
-func devCerts(f *flag.FlagSet) func(*call) error {
+func devCerts(f *flag.FlagSet) func(*invocation) error {
 	vms := f.String("vms", "vm-1", "`names` of the VMs, separated by commas")
 	ips := f.String("ips", "127.0.0.1", "IP `numbers` that the certificates are valid for, separated by commas")
-	return func(c *call) error {
-		if err := c.want("DIR"); err != nil {
+	return func(inv *invocation) error {
+		if err := inv.checkArgs("DIR"); err != nil {
 			return err
 		}
-		var numbers []net.IP
+		var addresses []net.IP
 		for _, text := range strings.Split(*ips, ",") {
 			ip := net.ParseIP(text)
 			if ip == nil {
-				return errkind.New(errkind.BadInput, "write IP numbers separated by commas", "IP number %q", text)
+				return errkind.New(errkind.BadInput, "write IP addresses separated by commas", "%q is not an IP address", text)
 			}
-			numbers = append(numbers, ip)
+			addresses = append(addresses, ip)
 		}
-		files, err := devcerts.Write(c.args[0], strings.Split(*vms, ","), numbers, time.Now())
+		files, err := devcerts.Write(inv.args[0], strings.Split(*vms, ","), addresses, time.Now())
 		if err != nil {
 			return err
 		}
-		return c.print(files, func() {
+		return inv.print(files, func() {
 			for _, file := range files {
-				fmt.Fprintln(c.stdout, file)
+				fmt.Fprintln(inv.stdout, file)
 			}
 		})
 	}
@@ -134,16 +135,16 @@
 	return command{
 		name: "version", summary: "Prints the version of this program",
 		examples: []string{"version"},
-		setup: func(*flag.FlagSet) func(*call) error {
-			return func(c *call) error {
+		setup: func(*flag.FlagSet) func(*invocation) error {
+			return func(inv *invocation) error {
 				v := programVersion()
-				return c.print(v, func() { fmt.Fprintf(c.stdout, "redwingctl %s %s %s\n", v.Version, v.Revision, v.Go) })
+				return inv.print(v, func() { fmt.Fprintf(inv.stdout, "redwingctl %s %s %s\n", v.Version, v.Revision, v.Go) })
 			}
 		},
 	}
 }
 
-// buildVersion is what the Go tool recorded in the program.
+// buildVersion is the version information that the Go tool embeds in the binary.
 type buildVersion struct {
 	Version  string `json:"version"`
 	Revision string `json:"revision"`
--- a/cmd/redwingctl/main.go
+++ b/cmd/redwingctl/main.go
@@ -1,6 +1,6 @@
-// Command redwingctl is the operator command of redwingthread.
+// Command redwingctl is the command-line tool for operators of redwingthread.
 //
-// Run redwingctl -h for its commands, and redwingctl COMMAND -h for examples and exit codes of one.
+// Run redwingctl -h for the list of commands, and redwingctl COMMAND -h for the flags, examples and exit codes of one.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	os.Exit(code)
 }
 
-// commands returns all commands in the order of the help text.
+// commands returns all commands, in the order in which the help text lists them.
 func commands() []command {
 	var all []command
 	all = append(all, accountCommands()...)
--- a/cmd/redwingctl/main_test.go
+++ b/cmd/redwingctl/main_test.go
@@ -18,12 +18,13 @@
 	"github.com/redwingthread/redwingthread/operatorclient"
 )
 
-// fakeAPI answers every call and keeps the last one.
+// fakeAPI responds to every request with status and response, and records the last request. A status of 0 closes the
+// connection without a response.
 type fakeAPI struct {
-	t      *testing.T
-	status int
-	answer string
-	// document answers GET /v1/config.
+	t        *testing.T
+	status   int
+	response string
+	// document is the response to GET /v1/config, unless it is empty.
 	document string
 
 	method string
@@ -40,18 +41,18 @@
 	f.method, f.path, f.token = r.Method, r.URL.RequestURI(), r.Header.Get("Authorization")
 	f.body, _ = io.ReadAll(r.Body)
 	if f.status == 0 {
-		// The connection is lost after the request arrived.
+		// Close the connection after the request has arrived.
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(f.status)
-	fmt.Fprint(w, f.answer)
+	fmt.Fprint(w, f.response)
 }
 
 const testDocument = `{"version":7,"accounts":{"scan":{"name":"scan","weight":1,"guarantees":[
 	{"failure_domain":"fd-a","count":1,"shape":{"members":1,"per_member":{"accelerators":8},"adjacency":"none"}}]}},
 	"drains":{"vm-9":{"vm":"vm-9"}}}`
 
-// run runs the program against the API and returns exit code, output and error output.
+// run runs redwingctl against the API and returns its exit code, standard output and standard error.
 func run(t *testing.T, api *fakeAPI, input string, args ...string) (int, string, string) {
 	t.Helper()
 	api.t = t
@@ -67,35 +68,36 @@
 	return code, stdout.String(), stderr.String()
 }
 
-const by = " -author ana -reason test"
+const changeArgs = " -author ana -reason test"
 
-// TestExitCodes guards the documented exit codes and the path and method of each verb.
+// TestExitCodes guards against a command that returns an exit code other than the documented one, sends a request with
+// the wrong method or path, prints the token, or reports an error without a remedy.
 func TestExitCodes(t *testing.T) {
-	refused := func(kind errkind.Kind) string {
+	errorJSON := func(kind errkind.Kind) string {
 		return fmt.Sprintf(`{"kind":%q,"message":"m","remedy":"do this","outcome":"not_run"}`, kind)
 	}
 	const accepted = `{"id":"p","outcome":"accepted","version":8}`
 	const status = `{"job":{"id":"j"},"state":"completed"}`
 	cases := map[string]struct {
-		args   string
-		status int
-		answer string
-		code   int
-		call   string
+		args        string
+		status      int
+		response    string
+		code        int
+		wantRequest string
 	}{
-		"account create":   {"account create orders" + by, 200, accepted, 0, "POST /v1/config/patches"},
+		"account create":   {"account create orders" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
 		"no author":        {"account create orders -reason r", 200, accepted, 2, ""},
-		"account exists":   {"account create scan" + by, 200, accepted, 5, ""},
-		"unknown account":  {"account remove none" + by, 200, accepted, 4, ""},
-		"lost patch":       {"account remove scan" + by, 0, "", 8, "POST /v1/config/patches"},
-		"refused patch":    {"account remove scan" + by, 409, `{"outcome":"refused","error":` + refused("conflict") + `}`, 5, ""},
-		"infeasible":       {"guarantee set scan -failure-domain fd-a -members 9 -accelerators 8" + by, 422, refused("infeasible"), 6, ""},
-		"bad shape":        {"guarantee set scan -failure-domain fd-a -members 0" + by, 200, accepted, 2, ""},
-		"no guarantee":     {"guarantee remove scan -failure-domain fd-b" + by, 200, accepted, 4, ""},
-		"guarantee remove": {"guarantee remove scan -failure-domain fd-a" + by, 200, accepted, 0, "POST /v1/config/patches"},
-		"drain start":      {"drain start vm-1" + by, 200, accepted, 0, "POST /v1/config/patches"},
-		"not drained":      {"drain stop vm-1" + by, 200, accepted, 4, ""},
-		"drain stop":       {"drain stop vm-9" + by, 200, accepted, 0, "POST /v1/config/patches"},
+		"account exists":   {"account create scan" + changeArgs, 200, accepted, 5, ""},
+		"unknown account":  {"account remove none" + changeArgs, 200, accepted, 4, ""},
+		"lost patch":       {"account remove scan" + changeArgs, 0, "", 8, "POST /v1/config/patches"},
+		"refused patch":    {"account remove scan" + changeArgs, 409, `{"outcome":"refused","error":` + errorJSON("conflict") + `}`, 5, ""},
+		"infeasible":       {"guarantee set scan -failure-domain fd-a -members 9 -accelerators 8" + changeArgs, 422, errorJSON("infeasible"), 6, ""},
+		"bad shape":        {"guarantee set scan -failure-domain fd-a -members 0" + changeArgs, 200, accepted, 2, ""},
+		"no guarantee":     {"guarantee remove scan -failure-domain fd-b" + changeArgs, 200, accepted, 4, ""},
+		"guarantee remove": {"guarantee remove scan -failure-domain fd-a" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
+		"drain start":      {"drain start vm-1" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
+		"not drained":      {"drain stop vm-1" + changeArgs, 200, accepted, 4, ""},
+		"drain stop":       {"drain stop vm-9" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
 		"job submit":       {"job submit -id j -members 1 -accelerators 1 -- sleep 2", 200, `{"outcome":"completed","job":` + status + `}`, 0, "POST /v1/jobs"},
 		"job lost":         {"job submit -id j -members 1 -accelerators 1 -- sleep 2", 0, "", 8, "POST /v1/jobs"},
 		"no command line":  {"job submit -members 1 -accelerators 1", 200, "", 2, ""},
@@ -105,18 +107,18 @@
 		"job wait other":   {"job show j -wait running", 200, status, 5, ""},
 		"job why":          {"job why j", 200, `{"id":"j","why":"waits"}`, 0, "GET /v1/jobs/j/why"},
 		"job cancel":       {"job cancel j", 200, `{"outcome":"completed","job":` + status + `}`, 0, "DELETE /v1/jobs/j"},
-		"job unknown":      {"job show j", 404, refused("not_found"), 4, ""},
+		"job unknown":      {"job show j", 404, errorJSON("not_found"), 4, ""},
 		"read lost":        {"job show j", 0, "", 7, "GET /v1/jobs/j"},
 		"config settle":    {"config settle p", 200, accepted, 0, "GET /v1/config/patches/p"},
-		"unsettled":        {"config settle p", 502, `{"outcome":"unknown","error":` + refused("unknown") + `}`, 8, ""},
-		"config withdraw":  {"config withdraw p" + by, 200, accepted, 0, "POST /v1/config/patches/p/withdraw"},
+		"unsettled":        {"config settle p", 502, `{"outcome":"unknown","error":` + errorJSON("unknown") + `}`, 8, ""},
+		"config withdraw":  {"config withdraw p" + changeArgs, 200, accepted, 0, "POST /v1/config/patches/p/withdraw"},
 		"config log":       {"config log -from 2 -to 3", 200, `[` + accepted + `]`, 0, "GET /v1/config/log?from=2&to=3"},
 		"config replay":    {"config replay", 200, `[` + accepted + `]`, 0, "GET /v1/config/log?from=0"},
 		"config status":    {"config status", 200, `{"self":{},"vms":[{"vm":"v","version":"unknown"}]}`, 0, "GET /v1/config/status"},
 		"config diff":      {"config diff 3 4", 200, "", 0, ""},
 		"health":           {"health", 200, `{"ready":true}`, 0, "GET /v1/health"},
 		"not ready":        {"health", 200, `{"ready":false}`, 7, "GET /v1/health"},
-		"wrong token":      {"health", 401, refused("unauthenticated"), 3, ""},
+		"wrong token":      {"health", 401, errorJSON("unauthenticated"), 3, ""},
 		"no typed error":   {"health", 500, "<html>", 1, ""},
 		"not JSON":         {"health", 200, "<html>", 1, ""},
 		"unknown command":  {"frobnicate", 200, "", 2, ""},
@@ -126,13 +128,13 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			api := &fakeAPI{status: c.status, answer: c.answer, document: testDocument}
+			api := &fakeAPI{status: c.status, response: c.response, document: testDocument}
 			code, stdout, stderr := run(t, api, "", strings.Fields(c.args)...)
 			if code != c.code {
 				t.Fatalf("got code %d, want %d; %s%s", code, c.code, stdout, stderr)
 			}
-			if got := strings.TrimSpace(api.method + " " + api.path); c.call != "" && got != c.call {
-				t.Errorf("got call %q, want %q", got, c.call)
+			if got := strings.TrimSpace(api.method + " " + api.path); c.wantRequest != "" && got != c.wantRequest {
+				t.Errorf("got request %q, want %q", got, c.wantRequest)
 			}
 			if api.token != "" && api.token != "Bearer secret-token" || strings.Contains(stdout+stderr, "secret-token") {
 				t.Errorf("token: sent %q, output %s%s", api.token, stdout, stderr)
@@ -144,10 +146,11 @@
 	}
 }
 
-// TestPatchOfVerb guards against a verb whose patch is not on the version that it read, or lacks author and reason.
-func TestPatchOfVerb(t *testing.T) {
-	api := &fakeAPI{status: 200, answer: `{"outcome":"accepted","version":8}`, document: testDocument}
-	code, stdout, _ := run(t, api, "", strings.Fields("account create orders -weight 3 -o json"+by)...)
+// TestPatchOfCommand guards against a command whose patch is not based on the version that the command read, or that
+// lacks the author or reason.
+func TestPatchOfCommand(t *testing.T) {
+	api := &fakeAPI{status: 200, response: `{"outcome":"accepted","version":8}`, document: testDocument}
+	code, stdout, _ := run(t, api, "", strings.Fields("account create orders -weight 3 -o json"+changeArgs)...)
 	var created createdAccount
 	if err := json.Unmarshal([]byte(stdout), &created); code != 0 || err != nil || created.Version != 8 {
 		t.Fatalf("got code %d, error %v, output %s", code, err, stdout)
@@ -163,7 +166,8 @@
 	}
 }
 
-// TestPatchFile guards against a patch that is submitted without a base, and against a lost author.
+// TestPatchFile guards against submitting a patch file that lacks the base or the author or has unknown keys, and
+// against a submitted patch without an id.
 func TestPatchFile(t *testing.T) {
 	const op = `"ops":[{"op":"remove","path":"drains/vm-9"}]`
 	cases := map[string]struct {
@@ -179,7 +183,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			api := &fakeAPI{status: 200, answer: `{"outcome":"accepted","version":8}`}
+			api := &fakeAPI{status: 200, response: `{"outcome":"accepted","version":8}`}
 			if code, _, stderr := run(t, api, c.patch, "config", "submit", "-"); code != c.code {
 				t.Fatalf("got code %d: %s", code, stderr)
 			}
@@ -191,7 +195,7 @@
 	}
 }
 
-// TestHelp guards against a command without help, and against examples that the program does not accept.
+// TestHelp guards against a command without help, and against examples whose flags the program does not accept.
 func TestHelp(t *testing.T) {
 	for _, c := range commands() {
 		args := append(strings.Fields(c.name), "-h")
@@ -200,8 +204,8 @@
 			t.Errorf("%s: code %d, output %s", c.name, code, stdout)
 		}
 		for _, example := range c.examples {
-			args := words(example)
-			selected, rest := find(commands(), args)
+			args := splitWords(example)
+			selected, rest := findCommand(commands(), args)
 			if selected == nil || selected.name != c.name {
 				t.Errorf("example %q is not of command %q", example, c.name)
 				continue
@@ -210,15 +214,15 @@
 			f := newFlagSet(c.name)
 			o.declare(f, func(string) string { return "" })
 			selected.setup(f)
-			if _, err := parse(f, rest); err != nil {
+			if _, err := parseArgs(f, rest); err != nil {
 				t.Errorf("example %q: %v", example, err)
 			}
 		}
 	}
 }
 
-// words splits a command line as a shell does, with quotes and without redirection.
-func words(line string) []string {
+// splitWords splits a command line into words as a shell does. It understands quotes and drops input redirection.
+func splitWords(line string) []string {
 	line, _, _ = strings.Cut(line, " < ")
 	var list []string
 	for i, part := range strings.FieldsFunc(strings.ReplaceAll(line, "'", `"`), func(r rune) bool { return r == '"' }) {
@@ -231,18 +235,20 @@
 	return list
 }
 
-// TestFlagsAfterArguments guards the order of flags that the help text shows.
+// TestFlagsAfterArguments guards against flags that are recognised only before the positional arguments; the examples in
+// the help text have them after.
 func TestFlagsAfterArguments(t *testing.T) {
 	var o options
 	f := newFlagSet("x")
 	o.declare(f, func(string) string { return "" })
-	args, err := parse(f, []string{"a", "-o", "json", "b", "--", "-c", "--", "d"})
+	args, err := parseArgs(f, []string{"a", "-o", "json", "b", "--", "-c", "--", "d"})
 	if err != nil || o.output != "json" || strings.Join(args, " ") != "a b -c -- d" {
 		t.Fatalf("got error %v, output %q, arguments %q", err, o.output, args)
 	}
 }
 
-// TestCheckSettings guards against a fault report without lines and against an exit code of 0 for a faulty file.
+// TestCheckSettings guards against a report that lacks faults of a settings file, an exit code of 0 for a faulty file,
+// and example files that fail the check.
 func TestCheckSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
 	if err := os.WriteFile(path, []byte("vm = 3\ncolour = 1\n"), 0o600); err != nil {
@@ -261,8 +267,8 @@
 	}
 }
 
-// TestRequestOutcomes guards the outcome and exit code of a caller's request: nothing but a complete response may
-// count as done, and an unknown outcome may not look like one that did not run.
+// TestRequestOutcomes guards against wrong exit codes of redwingctl request: only a complete response with the outcome
+// completed may give 0, and a request that may have run must not be reported as one that did not.
 func TestRequestOutcomes(t *testing.T) {
 	cases := map[string]struct {
 		outcome string
--- a/cmd/redwingctl/output.go
+++ b/cmd/redwingctl/output.go
@@ -9,20 +9,20 @@
 	"github.com/redwingthread/redwingthread/operatorclient"
 )
 
-// print writes value as JSON, or calls table to write it for readers.
-func (c *call) print(value any, table func()) error {
-	if c.options.output != outputJSON {
-		table()
+// print writes value as JSON if that is the output format. Otherwise it calls printText, which writes it as text.
+func (inv *invocation) print(value any, printText func()) error {
+	if inv.options.output != outputJSON {
+		printText()
 		return nil
 	}
-	encoder := json.NewEncoder(c.stdout)
+	encoder := json.NewEncoder(inv.stdout)
 	encoder.SetEscapeHTML(false)
 	return encoder.Encode(value)
 }
 
-// columns writes rows under a header, in aligned columns.
-func (c *call) columns(header []string, rows [][]string) {
-	w := tabwriter.NewWriter(c.stdout, 0, 0, 2, ' ', 0)
+// columns writes a header and rows in aligned columns.
+func (inv *invocation) columns(header []string, rows [][]string) {
+	w := tabwriter.NewWriter(inv.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, strings.Join(header, "\t"))
 	for _, row := range rows {
 		fmt.Fprintln(w, strings.Join(row, "\t"))
@@ -30,28 +30,29 @@
 	_ = w.Flush()
 }
 
-// pairs writes one "name: value" line for each pair; pairs without a value are left out.
-func (c *call) pairs(pairs ...[2]string) {
-	for _, p := range pairs {
-		if p[1] != "" {
-			fmt.Fprintf(c.stdout, "%s: %s\n", p[0], p[1])
+// fields writes one "name: value" line for each field, a pair of name and value. Fields with an empty value are left
+// out.
+func (inv *invocation) fields(fields ...[2]string) {
+	for _, field := range fields {
+		if field[1] != "" {
+			fmt.Fprintf(inv.stdout, "%s: %s\n", field[0], field[1])
 		}
 	}
 }
 
-// decision writes what became of a patch.
-func (c *call) decision(d operatorclient.Decision) error {
-	return c.print(d, func() {
-		c.pairs([2]string{"outcome", string(d.Outcome)}, [2]string{"version", fmt.Sprint(d.Version)}, [2]string{"patch", d.ID})
+// decision writes the decision about a patch.
+func (inv *invocation) decision(d operatorclient.Decision) error {
+	return inv.print(d, func() {
+		inv.fields([2]string{"outcome", string(d.Outcome)}, [2]string{"version", fmt.Sprint(d.Version)}, [2]string{"patch", d.ID})
 		if d.Error != nil {
-			c.pairs([2]string{"refusal", d.Error.Error()})
+			inv.fields([2]string{"refusal", d.Error.Error()})
 		}
 	})
 }
 
-// lines writes lines below a heading.
-func (c *call) lines(lines []string) {
+// lines writes lines, indented to stand below a heading.
+func (inv *invocation) lines(lines []string) {
 	for _, line := range lines {
-		fmt.Fprintln(c.stdout, " ", line)
+		fmt.Fprintln(inv.stdout, " ", line)
 	}
 }
--- a/cmd/redwingctl/request.go
+++ b/cmd/redwingctl/request.go
@@ -27,61 +27,62 @@
 }
 
 // caller returns a client of the caller API.
-func (c *call) caller() (*operatorclient.Caller, error) {
-	token, err := c.token()
+func (inv *invocation) caller() (*operatorclient.Caller, error) {
+	token, err := inv.token()
 	if err != nil {
 		return nil, err
 	}
-	return operatorclient.NewCaller(c.options.address, token, c.options.timeout), nil
+	return operatorclient.NewCaller(inv.options.address, token, inv.options.timeout), nil
 }
 
-func request(f *flag.FlagSet) func(*call) error {
+func request(f *flag.FlagSet) func(*invocation) error {
 	var r operatorclient.ServiceRequest
 	data := f.String("data", "", "request `body`")
 	f.StringVar(&r.Key, "key", "", "request `key` from redwingctl request-key")
 	f.Int64Var(&r.TimeoutMS, "deadline-ms", 0, "deadline in milliseconds (default: the service's)")
 	f.BoolVar(&r.Idempotent, "idempotent", false, "a POST or PATCH may run more than once")
-	return func(c *call) error {
-		if err := c.want("METHOD", "SERVICE/PATH"); err != nil {
+	return func(inv *invocation) error {
+		if err := inv.checkArgs("METHOD", "SERVICE/PATH"); err != nil {
 			return err
 		}
-		r.Method, r.Target, r.Body = c.args[0], c.args[1], []byte(*data)
-		caller, err := c.caller()
+		r.Method, r.Target, r.Body = inv.args[0], inv.args[1], []byte(*data)
+		caller, err := inv.caller()
 		if err != nil {
 			return err
 		}
-		response, err := caller.Send(c.ctx, r)
-		if printErr := c.print(response, func() { c.response(response) }); printErr != nil {
+		response, err := caller.Send(inv.ctx, r)
+		if printErr := inv.print(response, func() { inv.response(response) }); printErr != nil {
 			return printErr
 		}
 		return err
 	}
 }
 
-func (c *call) response(r operatorclient.ServiceResponse) {
+// response writes the response to a request as text.
+func (inv *invocation) response(r operatorclient.ServiceResponse) {
 	status := ""
 	if r.Status != 0 {
 		status = fmt.Sprint(r.Status)
 	}
-	c.pairs([2]string{"outcome", r.Outcome}, [2]string{"status", status}, [2]string{"request", r.RequestID},
+	inv.fields([2]string{"outcome", r.Outcome}, [2]string{"status", status}, [2]string{"request", r.RequestID},
 		[2]string{"key", r.Key}, [2]string{"body", r.Body})
 }
 
-func requestKey(*flag.FlagSet) func(*call) error {
-	return func(c *call) error {
-		if err := c.want(); err != nil {
+func requestKey(*flag.FlagSet) func(*invocation) error {
+	return func(inv *invocation) error {
+		if err := inv.checkArgs(); err != nil {
 			return err
 		}
-		caller, err := c.caller()
+		caller, err := inv.caller()
 		if err != nil {
 			return err
 		}
-		key, err := caller.NewKey(c.ctx)
+		key, err := caller.NewKey(inv.ctx)
 		if err != nil {
 			return err
 		}
-		return c.print(struct {
+		return inv.print(struct {
 			Key string `json:"key"`
-		}{key}, func() { fmt.Fprintln(c.stdout, key) })
+		}{key}, func() { fmt.Fprintln(inv.stdout, key) })
 	}
 }
--- a/cmd/redwingctl/usage.go
+++ b/cmd/redwingctl/usage.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// exitCodes documents the exit codes; they are those of package errkind.
+// exitCodes documents the exit codes, which package errkind defines.
 const exitCodes = `Exit codes:
   0  done
   1  fault of a program
@@ -19,7 +19,7 @@
   8  unknown: it may have run; settle it before a retry
 `
 
-// programUsage prints the commands and exit codes.
+// programUsage prints the list of commands and the exit codes.
 func programUsage(w io.Writer, all []command) {
 	fmt.Fprint(w, "redwingctl operates a redwingthread deployment.\n\nUsage: redwingctl COMMAND [flags] [arguments]\n\nCommands:\n")
 	for _, c := range all {
