--- a/cmd/redwing-node/main.go
+++ b/cmd/redwing-node/main.go
@@ -1,4 +1,5 @@
-// Command redwing-node is the process of one VM: it serves callers and takes its turn in holding the schedule.
+// Command redwing-node is the process that runs on each VM. It serves callers, and it schedules tasks while its VM
+// holds the schedule.
 package main
 
 import (
@@ -22,23 +23,24 @@
 )
 
 const (
-	// logBuffer bounds the log lines that wait to be written; more are dropped and counted.
+	// logBuffer is the number of log lines that can wait to be written. Further lines are dropped and counted.
 	logBuffer = 4096
-	// memoryShare is the part of the VM's memory that the garbage collector keeps within.
+	// memoryShare is the fraction of the VM's memory that is set as the soft memory limit of the Go runtime.
 	memoryShare = 0.7
 	mebibyte    = 1 << 20
 )
 
 func main() {
-	// A signal that arrives while the process starts must not end it.
-	hangup := takeHangups()
+	// Subscribe before anything else: a SIGHUP that arrives during the start must not end the process.
+	reloadSignal := subscribeSIGHUP()
 	check := flag.Bool("check", false, "read and check the settings, then exit")
 	level := flag.String("log", "info", "least level of log lines: debug, info, warn or error")
 	flag.Parse()
-	os.Exit(daemon.Main(func(ctx context.Context) error { return run(ctx, hangup, *check, *level) }))
+	os.Exit(daemon.Main(func(ctx context.Context) error { return run(ctx, reloadSignal, *check, *level) }))
 }
 
-func run(ctx context.Context, hangup <-chan os.Signal, check bool, level string) error {
+// run loads the settings and runs the node until ctx ends. With check set it returns once the settings are checked.
+func run(ctx context.Context, reloadSignal <-chan os.Signal, check bool, level string) error {
 	path, err := platform.SettingsPath()
 	if err != nil {
 		return err
@@ -47,43 +49,44 @@
 	if err != nil || check {
 		return err
 	}
-	out, closeLog, err := newLog(settings, level)
+	logger, closeLog, err := newLogger(settings, level)
 	if err != nil {
 		return err
 	}
 	defer closeLog()
-	defer telemetry.LogViolations(out)()
+	defer telemetry.LogViolations(logger)()
 	debug.SetMemoryLimit(int64(memoryShare * float64(settings.MemoryMB) * mebibyte))
-	out.Info().Str("address", settings.CallerListen).Str("store", settings.StoreAddress).Msg("process started")
-	log := platform.NewStore(settings.StoreAddress)
-	go (&reloader{path: path, settings: settings, store: log, out: out}).run(ctx, hangup)
+	logger.Info().Str("address", settings.CallerListen).Str("store", settings.StoreAddress).Msg("process started")
+	storeClient := platform.NewStore(settings.StoreAddress)
+	go (&reloader{path: path, settings: settings, store: storeClient, logger: logger}).run(ctx, reloadSignal)
 	n := node.New(node.Options{
 		Settings: settings,
-		Log:      log,
+		Log:      storeClient,
 		Workers:  platform.Workers{},
 		Decoder: node.Decoder{
 			IsConfig:     platform.IsConfiguration,
 			Config:       platform.DecodeConfiguration,
 			WorkerRecord: platform.DecodeWorker,
 		},
-		Out: out,
+		Out: logger,
 	})
-	err = n.Run(ctx, &platform.Ingress{Front: n, Out: out}, platform.ReadyPath)
-	out.Info().AnErr("error", err).Msg("process stopped")
+	err = n.Run(ctx, &platform.Ingress{Front: n, Out: logger}, platform.ReadyPath)
+	logger.Info().AnErr("error", err).Msg("process stopped")
 	return err
 }
 
-// newLog returns a logger that never blocks: lines that standard output does not take in time are dropped and counted.
-func newLog(settings *vmsettings.Settings, level string) (zerolog.Logger, func(), error) {
+// newLogger returns a logger to standard output that never blocks, and a function that closes it. Lines that cannot be
+// written in time are dropped and counted.
+func newLogger(settings *vmsettings.Settings, level string) (zerolog.Logger, func(), error) {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
-		return zerolog.Nop(), nil, errkind.Wrap(err, errkind.BadInput, "use debug, info, warn or error", "log level %q", level)
+		return zerolog.Nop(), nil, errkind.Wrap(err, errkind.BadInput, "use debug, info, warn or error", "unknown log level %q", level)
 	}
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	writer := diode.NewWriter(os.Stdout, logBuffer, 0, func(missed int) {
-		fmt.Fprintf(os.Stderr, "{\"level\":\"warn\",\"dropped\":%d,\"message\":\"log lines dropped\"}\n", missed)
+	writer := diode.NewWriter(os.Stdout, logBuffer, 0, func(dropped int) {
+		fmt.Fprintf(os.Stderr, "{\"level\":\"warn\",\"dropped\":%d,\"message\":\"log lines dropped\"}\n", dropped)
 	})
-	log := zerolog.New(io.Writer(writer)).Level(parsed).With().Timestamp().
+	logger := zerolog.New(io.Writer(writer)).Level(parsed).With().Timestamp().
 		Str("failure_domain", settings.FailureDomain).Str("vm", settings.VM).Logger()
-	return log, func() { _ = writer.Close() }, nil
+	return logger, func() { _ = writer.Close() }, nil
 }
--- a/cmd/redwing-node/main_test.go
+++ b/cmd/redwing-node/main_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// processVariable makes the test binary run the program instead of the tests.
+// processVariable is the environment variable that makes the test binary run the program instead of the tests.
 const processVariable = "REDWING_NODE_TEST_PROCESS"
 
-// startup is enough time for the test binary to reach the reading of its settings.
-const startup = 500 * time.Millisecond
+// startupTime is enough for the test binary to start and to open its settings file.
+const startupTime = 500 * time.Millisecond
 
-// TestMain runs the program if the test binary was started as one.
+// TestMain runs the program instead of the tests if processVariable is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(processVariable) != "" {
 		main()
@@ -23,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// TestReloadSignalDuringStart guards against a process that ends because a reload is asked for before it has read its settings.
-// The settings are a pipe, so that the process waits in the middle of its start.
+// TestReloadSignalDuringStart guards against a process that is killed by a SIGHUP which arrives before the settings are
+// read. The settings file is a named pipe, so that the process blocks in the middle of its start.
 func TestReloadSignalDuringStart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -35,21 +35,22 @@
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(startup)
+	time.Sleep(startupTime)
 	if err := process.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(startup)
-	// The process ends by itself once it reads settings that lack everything.
+	time.Sleep(startupTime)
+	// The process exits by itself once it has read settings without any field.
 	finishSettings(t, path)
 	_ = process.Wait()
 	status, ok := process.ProcessState.Sys().(syscall.WaitStatus)
 	if !ok || status.Signaled() {
-		t.Fatalf("the process ended by %v", process.ProcessState)
+		t.Fatalf("the process was ended by a signal: %v", process.ProcessState)
 	}
 }
 
-// finishSettings ends the pipe's content. Opened for both directions, the pipe does not block when nobody reads.
+// finishSettings writes an empty line to the named pipe and closes it, so that its reader sees the end of the file.
+// Opening the pipe for reading and writing does not block if there is no reader.
 func finishSettings(t *testing.T, path string) {
 	t.Helper()
 	pipe, err := os.OpenFile(path, os.O_RDWR, 0)
@@ -59,7 +60,7 @@
 	if _, err := pipe.WriteString("\n"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(startup)
+	time.Sleep(startupTime)
 	if err := pipe.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/redwing-node/reload.go
+++ b/cmd/redwing-node/reload.go
@@ -13,35 +13,36 @@
 	"github.com/redwingthread/redwingthread/vmsettings"
 )
 
-// reloadInterval is the time between two looks at the settings file, which may change without a signal.
+// reloadInterval is the interval at which the settings file is read again, because it may change without a signal.
 const reloadInterval = 5 * time.Second
 
-// reloader follows changes of the settings file. Only the address of the store can change in a running process; other
-// changes are reported and take effect at the next start.
+// reloader applies changes of the settings file. Only the address of the store can change in a running process. Other
+// changes take effect at the next start; the log says so for the listen addresses.
 type reloader struct {
 	path     string
 	settings *vmsettings.Settings
 	store    *platform.Store
-	out      zerolog.Logger
+	logger   zerolog.Logger
 }
 
-// takeHangups makes the process take the signal for a reload instead of ending on it.
-func takeHangups() <-chan os.Signal {
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP)
-	return hangup
+// subscribeSIGHUP returns a channel that receives SIGHUP, the signal to reload the settings. From then on SIGHUP no
+// longer ends the process.
+func subscribeSIGHUP() <-chan os.Signal {
+	reloadSignal := make(chan os.Signal, 1)
+	signal.Notify(reloadSignal, syscall.SIGHUP)
+	return reloadSignal
 }
 
-// run reloads at each signal and looks for changes in between until ctx ends.
-func (r *reloader) run(ctx context.Context, hangup <-chan os.Signal) {
+// run reloads the settings at each SIGHUP and every reloadInterval, until ctx ends.
+func (r *reloader) run(ctx context.Context, reloadSignal <-chan os.Signal) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangup:
-			r.out.Info().Msg("reload asked for by signal")
+		case <-reloadSignal:
+			r.logger.Info().Msg("settings reload requested by SIGHUP")
 			r.reload()
 		case <-ticker.C:
 			r.reload()
@@ -49,10 +50,11 @@
 	}
 }
 
+// reload reads the settings file and applies its changes. If the file is not valid, the previous settings stay in force.
 func (r *reloader) reload() {
 	settings, err := platform.LoadSettings(r.path)
 	if err != nil {
-		r.out.Error().Err(err).Msg("settings not reloaded; the last ones stay in force")
+		r.logger.Error().Err(err).Msg("settings reload failed; the previous settings stay in force")
 		return
 	}
 	if *settings == *r.settings {
@@ -61,7 +63,7 @@
 	if settings.StoreAddress != r.settings.StoreAddress {
 		r.store.SetAddress(settings.StoreAddress)
 	}
-	r.out.Info().Str("store", settings.StoreAddress).
+	r.logger.Info().Str("store", settings.StoreAddress).
 		Bool("restart_needed", settings.CallerListen != r.settings.CallerListen || settings.ReadyListen != r.settings.ReadyListen).
 		Msg("settings reloaded")
 	r.settings = settings
