--- a/cmd/redwing-gateway/main.go
+++ b/cmd/redwing-gateway/main.go
@@ -1,4 +1,4 @@
-// Command redwing-gateway takes callers' requests and operators' commands on an entry VM.
+// Command redwing-gateway is the gateway daemon of an entry VM. It serves the caller API and the operator API.
 package main
 
 import (
--- a/cmd/redwing-scheduler/main.go
+++ b/cmd/redwing-scheduler/main.go
@@ -1,4 +1,5 @@
-// Command redwing-scheduler plans the jobs of a failure domain; of those in one failure domain one is active.
+// Command redwing-scheduler is the scheduler daemon of an entry VM. It plans the jobs of its failure domain; one
+// scheduler of each failure domain is active, the others are on standby.
 package main
 
 import (
--- a/cmd/redwing-standin/main.go
+++ b/cmd/redwing-standin/main.go
@@ -1,8 +1,9 @@
-// Command redwing-standin runs stand-ins for the platform's services and for endpoints, for trials and tests.
+// Command redwing-standin runs stand-ins for the services of the platform, the workers and the endpoints, for tests and
+// local runs.
 //
 // Usage: redwing-standin -settings FILE
 //
-// It prints "ready" when all services listen and ends on SIGINT or SIGTERM.
+// It prints a line that begins with "ready" once all services listen, and exits on SIGINT or SIGTERM.
 package main
 
 import (
@@ -18,7 +19,7 @@
 	"github.com/redwingthread/redwingthread/standin"
 )
 
-// closeTimeout bounds the time that calls under way have at the end.
+// closeTimeout is the time that requests in progress have to finish at shutdown.
 const closeTimeout = time.Second
 
 func main() {
@@ -32,23 +33,23 @@
 	}
 }
 
-// run serves until ctx ends.
+// run loads the settings file at path and runs the stand-ins until ctx ends.
 func run(ctx context.Context, path string) error {
 	if path == "" {
-		return errkind.New(errkind.BadInput, "name a settings file with -settings", "no settings file")
+		return errkind.New(errkind.BadInput, "name a settings file with -settings", "no settings file is named")
 	}
 	settings, err := standin.LoadSettings(path)
 	if err != nil {
 		return err
 	}
-	set, err := standin.Start(settings)
+	services, err := standin.Start(settings)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("ready: %d services, control at %s\n", set.Len(), set.Address("control"))
+	fmt.Printf("ready: %d services, control at %s\n", services.Len(), services.Address("control"))
 	<-ctx.Done()
-	closing, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	closeCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	set.Close(closing)
+	services.Close(closeCtx)
 	return nil
 }
--- a/cmd/redwing-standin/main_test.go
+++ b/cmd/redwing-standin/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/redwingthread/redwingthread/standin"
 )
 
-// TestSampleLoads guards against a sample file that the program refuses.
+// TestSampleLoads guards against an example file that does not load, or whose values are not read.
 func TestSampleLoads(t *testing.T) {
 	s, err := standin.LoadSettings("../../examples/standin.toml")
 	if err != nil || s.Workers[0].Count != 8 || s.Endpoints[0].Slots != 8 {
@@ -18,7 +18,8 @@
 	}
 }
 
-// TestRunEnds guards against a program that goes on after its signal or starts with faulty settings.
+// TestRunEnds guards against a program that keeps running after its context has ended, and against one that starts with
+// invalid settings.
 func TestRunEnds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "standin.toml")
 	cases := map[string]struct {
