--- a/scripts/demo-files.sh
+++ b/scripts/demo-files.sh
@@ -1,22 +1,23 @@
-# Functions of scripts/demo.sh that write keys, settings files, the document and patches.
+# Functions of demo.sh and capacity.sh that write keys, settings files, the configuration document and patches to $dir.
 
+# write_keys writes the TLS keys and certificates of all VMs, and the bootstrap and operator tokens.
 write_keys() {
   local names
   names=$(IFS=,; echo "${vms[*]}")
-  quiet ctl dev-certs "$dir/keys" -vms "$names"
+  run_or_fail ctl dev-certs "$dir/keys" -vms "$names"
   new_token bootstrap
   new_token ana
 }
 
-# new_token NAME writes a token and its digest.
+# new_token NAME writes a new token to NAME.token and its digest to NAME.digest.
 new_token() {
-  quiet ctl token new
+  run_or_fail ctl token new
   (umask 077 && field token > "$dir/$1.token")
   field digest > "$dir/$1.digest"
 }
 
-# common VM CERTIFICATE writes the settings that both daemons have.
-common() {
+# common_settings VM prints the settings that the gateway and the scheduler have in common.
+common_settings() {
   cat <<TOML
 failure_domain = "$(domain_of "$1")"
 vm = "$1"
@@ -56,7 +57,7 @@
 
 write_gateway_settings() {
   {
-    common "$1"
+    common_settings "$1"
     cat <<TOML
 [listen]
 inner = "127.0.0.1:$(port "$1" inner)"
@@ -76,7 +77,7 @@
 
 write_scheduler_settings() {
   {
-    common "$1"
+    common_settings "$1"
     cat <<TOML
 [listen]
 inner = "127.0.0.1:$(port "$1" scheduler)"
@@ -138,8 +139,8 @@
   } > "$dir/standin.toml"
 }
 
-# list joins its arguments with commas.
-list() {
+# join_commas joins its arguments with commas.
+join_commas() {
   local IFS=,
   echo "$*"
 }
@@ -154,7 +155,7 @@
 \"address\":\"127.0.0.1:$(($(port standin workers) + i * workers_per_domain + n - 1))\"}")
     done
   done
-  list "${items[@]}"
+  join_commas "${items[@]}"
 }
 
 document_endpoints() {
@@ -166,7 +167,7 @@
 \"address\":\"127.0.0.1:$(($(port standin endpoints) + i * endpoints_per_domain + n - 1))\"}")
     done
   done
-  list "${items[@]}"
+  join_commas "${items[@]}"
 }
 
 document_domains() {
@@ -174,9 +175,10 @@
   for domain in "${domains[@]}"; do
     items+=("\"$domain\":{\"name\":\"$domain\",\"region\":\"north\"}")
   done
-  list "${items[@]}"
+  join_commas "${items[@]}"
 }
 
+# policy WEIGHT prints the policy section of the document with the given fragmentation weight.
 policy() {
   cat <<JSON
 {"fragmentation_weight":$1,"reclaim_bound_ms":10000,"max_wait_ms":30000,"gateway_seats":${seats:-8},"quarantine_percent":25,
@@ -198,7 +200,7 @@
 JSON
 }
 
-# write_patch BASE writes a patch and one that loses against it.
+# write_patch BASE writes two patches against version BASE. stale.json conflicts once patch.json is accepted.
 write_patch() {
   cat > "$dir/patch.json" <<JSON
 {"id":"weigh-fragmentation","base":$1,"author":"ana","reason":"batch fittings stall when accelerators are scattered",
--- a/scripts/prove.sh
+++ b/scripts/prove.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs one randomised run of each package with a proof, all with the same seed, and prints the sum of their violations
-# as the last line. Exits 0 only if every package reported and the sum is 0.
+# Runs TestProve, a randomised run, of each package that has one, all with the same seed. Prints the sum of their violations
+# in the last line. Exits 0 only if every package reported a result and the sum is 0.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 
