--- a/cmd/redwing-node/main.go
+++ b/cmd/redwing-node/main.go
@@ -34,7 +34,7 @@
 	// Subscribe before anything else: a SIGHUP that arrives during the start must not end the process.
 	reloadSignal := subscribeSIGHUP()
 	check := flag.Bool("check", false, "read and check the settings, then exit")
-	level := flag.String("log", "info", "least level of log lines: debug, info, warn or error")
+	level := flag.String("log", "info", "minimum level of log lines: debug, info, warn or error")
 	flag.Parse()
 	os.Exit(daemon.Main(func(ctx context.Context) error { return run(ctx, reloadSignal, *check, *level) }))
 }
--- a/cmd/redwingctl/account.go
+++ b/cmd/redwingctl/account.go
@@ -47,9 +47,9 @@
 	change.declare(f)
 	var a config.Account
 	f.IntVar(&a.Weight, "weight", 1, "share of the request queues, 1 or more")
-	f.IntVar(&a.Quota, "quota", 0, "bound of `accelerators` in use in one failure domain, 0 for none")
-	f.IntVar(&a.RetryBudgetPercent, "retry-budget", 0, "bound of retries in `percent` of first attempts, 0 for the default")
-	f.StringVar(&a.TokenDigest, "token-digest", "", "`digest` of a token that exists, from redwingctl token new")
+	f.IntVar(&a.Quota, "quota", 0, "limit of `accelerators` in use in one failure domain, 0 for none")
+	f.IntVar(&a.RetryBudgetPercent, "retry-budget", 0, "limit of retries in `percent` of first attempts, 0 for the default")
+	f.StringVar(&a.TokenDigest, "token-digest", "", "`digest` of an existing token, from redwingctl token new")
 	return func(inv *invocation) error {
 		if err := inv.checkArgs("NAME"); err != nil {
 			return err
--- a/cmd/redwingctl/command.go
+++ b/cmd/redwingctl/command.go
@@ -72,9 +72,9 @@
 		address = defaultAddress
 	}
 	f.StringVar(&o.address, "addr", address, "`host:port` of a gateway's operator API ("+addressVariable+")")
-	f.StringVar(&o.tokenFile, "token-file", "", "`file` that holds the bearer token (else "+tokenVariable+")")
+	f.StringVar(&o.tokenFile, "token-file", "", "`file` that holds the bearer token (without it, the token is read from "+tokenVariable+")")
 	f.StringVar(&o.output, "o", outputTable, "output `format`, table or json")
-	f.DurationVar(&o.timeout, "timeout", defaultTimeout, "bound of one call")
+	f.DurationVar(&o.timeout, "timeout", defaultTimeout, "timeout of one request")
 }
 
 // run executes the command that args select and returns the exit code.
--- a/cmd/redwingctl/config.go
+++ b/cmd/redwingctl/config.go
@@ -18,7 +18,7 @@
 func configCommands() []command {
 	return []command{
 		{
-			name: "config init", arguments: "FILE", summary: "Makes version 0 from a JSON document",
+			name: "config init", arguments: "FILE", summary: "Creates version 0 of the configuration from a JSON document",
 			examples: []string{"config init document.json -token-file bootstrap.token"},
 			setup:    configInit,
 		},
@@ -36,12 +36,12 @@
 			setup: configSubmit,
 		},
 		{
-			name: "config settle", arguments: "PATCH-ID", summary: "Reads the decision about a patch back from the log",
+			name: "config settle", arguments: "PATCH-ID", summary: "Looks up the decision about a patch in the configuration log",
 			examples: []string{"config settle 6f1c2a0e-8f0e-4b5e-9d0a-3f3f2b1c0d9e"},
 			setup:    configSettle,
 		},
 		{
-			name: "config withdraw", arguments: "PATCH-ID", summary: "Rules a patch out unless it was decided before",
+			name: "config withdraw", arguments: "PATCH-ID", summary: "Prevents an undecided patch from taking effect",
 			examples: []string{`config withdraw 6f1c2a0e-8f0e-4b5e-9d0a-3f3f2b1c0d9e -author ana -reason "log was down"`},
 			setup:    configWithdraw,
 		},
--- a/cmd/redwingctl/config_read.go
+++ b/cmd/redwingctl/config_read.go
@@ -33,7 +33,7 @@
 			setup:    configDiff,
 		},
 		{
-			name: "config replay", summary: "Goes through the changes one by one with author, reason and ops",
+			name: "config replay", summary: "Shows the accepted changes one by one with author, reason and ops",
 			examples: []string{"config replay -from 10", "config replay -from 10 -to 12 -step"},
 			setup:    configReplay,
 		},
--- a/cmd/redwingctl/drain.go
+++ b/cmd/redwingctl/drain.go
@@ -9,14 +9,14 @@
 func drainCommands() []command {
 	return []command{
 		{
-			name: "drain start", arguments: "VM", summary: "Empties a VM or worker",
+			name: "drain start", arguments: "VM", summary: "Drains a VM or worker",
 			examples: []string{`drain start w-a-3 -author ana -reason "fan replacement"`},
 			setup: drainSetup(func(vm, reason string) operatorclient.Edit {
 				return operatorclient.StartDrain(vm, reason)
 			}),
 		},
 		{
-			name: "drain stop", arguments: "VM", summary: "Lets a drained VM or worker take work again",
+			name: "drain stop", arguments: "VM", summary: "Ends the drain of a VM or worker, so that it accepts work again",
 			examples: []string{`drain stop w-a-3 -author ana -reason "fan replaced"`},
 			setup:    drainSetup(func(vm, _ string) operatorclient.Edit { return operatorclient.StopDrain(vm) }),
 		},
--- a/cmd/redwingctl/guarantee.go
+++ b/cmd/redwingctl/guarantee.go
@@ -13,7 +13,7 @@
 	return []command{
 		{
 			name: "guarantee set", arguments: "ACCOUNT",
-			summary: "Promises shapes to an account in a failure domain",
+			summary: "Guarantees shapes to an account in a failure domain",
 			examples: []string{
 				`guarantee set scan -failure-domain fd-a -members 2 -accelerators 8 -milli-cpu 8000 -memory-mb 16384 -adjacency rack -count 1 -author ana -reason "batch fittings"`,
 			},
@@ -21,7 +21,7 @@
 		},
 		{
 			name: "guarantee remove", arguments: "ACCOUNT",
-			summary: "Takes guarantees back: those of a shape, or all of a failure domain without -members",
+			summary: "Removes guarantees: those of a shape, or all of a failure domain without -members",
 			examples: []string{
 				`guarantee remove scan -failure-domain fd-a -author ana -reason "moved to fd-b"`,
 			},
@@ -37,7 +37,7 @@
 }
 
 func (s *shapeFlags) declare(f *flag.FlagSet) {
-	f.IntVar(&s.shape.Members, "members", 0, "`number` of tasks of the gang")
+	f.IntVar(&s.shape.Members, "members", 0, "`number` of tasks in the gang")
 	f.IntVar(&s.shape.PerMember.Accelerators, "accelerators", 0, "accelerators for each member")
 	f.Int64Var(&s.shape.PerMember.MilliCPU, "milli-cpu", 0, "thousandths of a core for each member")
 	f.Int64Var(&s.shape.PerMember.MemoryMB, "memory-mb", 0, "memory for each member in units of 2^20 bytes")
--- a/cmd/redwingctl/health.go
+++ b/cmd/redwingctl/health.go
@@ -12,7 +12,7 @@
 
 func healthCommand() command {
 	return command{
-		name: "health", summary: "Shows the health of a gateway and what it sees of the others; fails if it is not ready",
+		name: "health", summary: "Shows the health of a gateway and of its peers; fails if the gateway is not ready",
 		examples: []string{"health", "health -addr 10.0.1.11:8081 -o json"},
 		setup:    health,
 	}
--- a/cmd/redwingctl/job.go
+++ b/cmd/redwingctl/job.go
@@ -29,7 +29,7 @@
 			setup:    jobList,
 		},
 		{
-			name: "job show", arguments: "ID", summary: "Shows a job, or waits until it is in a state",
+			name: "job show", arguments: "ID", summary: "Shows a job, or waits until it reaches a state",
 			examples: []string{"job show fit-7", "job show fit-7 -wait completed -wait-timeout 30s"},
 			setup:    jobShow,
 		},
@@ -39,7 +39,7 @@
 			setup:    jobCancel,
 		},
 		{
-			name: "job why", arguments: "ID", summary: "Tells in one line what a job waits for",
+			name: "job why", arguments: "ID", summary: "Shows in one line what a job waits for",
 			examples: []string{"job why fit-7"},
 			setup:    jobWhy,
 		},
@@ -50,13 +50,13 @@
 	var shape shapeFlags
 	var job jobs.Job
 	shape.declare(f)
-	f.StringVar(&job.ID, "id", "", "`id` of the job; a second submission with it is the same job (default random)")
-	f.StringVar(&job.Account, "account", "", "client account; may be left out with an account's token")
+	f.StringVar(&job.ID, "id", "", "`id` of the job; submitting it again with the same id creates no second job (default random)")
+	f.StringVar(&job.Account, "account", "", "client account; optional with the token of an account")
 	f.StringVar(&job.FailureDomain, "failure-domain", "", "failure domain (default: the system chooses)")
-	f.BoolVar(&job.Urgent, "urgent", false, "plan it before others")
-	f.BoolVar(&job.RunOnce, "run-once", false, "never start it twice")
-	f.BoolVar(&job.CanCheckpoint, "can-checkpoint", false, "its tasks save their progress before a stop")
-	f.Int64Var(&job.DeclaredRunSeconds, "run-seconds", 0, "estimate of its run time in `seconds`")
+	f.BoolVar(&job.Urgent, "urgent", false, "plan the job before others")
+	f.BoolVar(&job.RunOnce, "run-once", false, "never start the job twice")
+	f.BoolVar(&job.CanCheckpoint, "can-checkpoint", false, "the tasks save their progress before they are stopped")
+	f.Int64Var(&job.DeclaredRunSeconds, "run-seconds", 0, "estimated run time in `seconds`")
 	return func(inv *invocation) error {
 		if len(inv.args) == 0 {
 			return errkind.New(errkind.BadInput, "write the command after --", "the job has no command")
@@ -130,8 +130,8 @@
 const waitInterval = 200 * time.Millisecond
 
 func jobShow(f *flag.FlagSet) func(*invocation) error {
-	wait := f.String("wait", "", "wait until the job is in this `state`; the command fails if it ends in another")
-	timeout := f.Duration("wait-timeout", time.Minute, "bound of -wait")
+	wait := f.String("wait", "", "wait until the job is in this `state`; fail if it ends in another one")
+	timeout := f.Duration("wait-timeout", time.Minute, "timeout of -wait")
 	return func(inv *invocation) error {
 		client, err := inv.clientWithArgs("ID")
 		if err != nil {
--- a/cmd/redwingctl/local.go
+++ b/cmd/redwingctl/local.go
@@ -98,7 +98,7 @@
 
 func devCertsCommand() command {
 	return command{
-		name: "dev-certs", arguments: "DIR", summary: "Makes keys and certificates for trials on one machine",
+		name: "dev-certs", arguments: "DIR", summary: "Generates keys and certificates for tests on one machine",
 		examples: []string{"dev-certs keys -vms vm-a1,vm-a2"},
 		setup:    devCerts,
 	}
@@ -106,7 +106,7 @@
 
 func devCerts(f *flag.FlagSet) func(*invocation) error {
 	vms := f.String("vms", "vm-1", "`names` of the VMs, separated by commas")
-	ips := f.String("ips", "127.0.0.1", "IP `numbers` that the certificates are valid for, separated by commas")
+	ips := f.String("ips", "127.0.0.1", "IP `addresses` that the certificates are valid for, separated by commas")
 	return func(inv *invocation) error {
 		if err := inv.checkArgs("DIR"); err != nil {
 			return err
--- a/cmd/redwingctl/request.go
+++ b/cmd/redwingctl/request.go
@@ -11,7 +11,7 @@
 	return []command{
 		{
 			name: "request", arguments: "METHOD SERVICE/PATH",
-			summary: "Sends a request to a service; -addr is a caller address, the token an account's",
+			summary: "Sends a request to a service; needs a caller address as -addr and the token of an account",
 			examples: []string{
 				"request GET orders/stock/oak -addr 10.0.1.11:8080 -token-file orders.token",
 				`request POST orders/order/17 -key KEY -data '{"bags":40}' -addr 10.0.1.12:8080 -token-file orders.token`,
@@ -39,8 +39,8 @@
 	var r operatorclient.ServiceRequest
 	data := f.String("data", "", "request `body`")
 	f.StringVar(&r.Key, "key", "", "request `key` from redwingctl request-key")
-	f.Int64Var(&r.TimeoutMS, "deadline-ms", 0, "deadline in milliseconds (default: the service's)")
-	f.BoolVar(&r.Idempotent, "idempotent", false, "a POST or PATCH may run more than once")
+	f.Int64Var(&r.TimeoutMS, "deadline-ms", 0, "timeout in milliseconds (default: that of the service)")
+	f.BoolVar(&r.Idempotent, "idempotent", false, "declare that a POST or PATCH may run more than once")
 	return func(inv *invocation) error {
 		if err := inv.checkArgs("METHOD", "SERVICE/PATH"); err != nil {
 			return err
