--- a/control/adopt.go
+++ b/control/adopt.go
@@ -53,7 +53,7 @@
 	}
 	for _, g := range t.gangsOn(w.id) {
 		members := seen[g.Job().ID]
-		g.Absent(w.id, restarted, func(index int) bool { return members[index] })
+		g.ObserveMissing(w.id, restarted, func(index int) bool { return members[index] })
 	}
 }
 
@@ -304,7 +304,7 @@
 	}
 	t.resolved = true
 	for _, g := range t.gangs {
-		g.UnseenGone()
+		g.MarkUnseenGone()
 	}
 	for _, e := range c.fold.Open() {
 		if t.blocked[e.Job.ID] {
--- a/control/send.go
+++ b/control/send.go
@@ -213,7 +213,7 @@
 			g.Acknowledged(command.Member, command.Op, now)
 			continue
 		}
-		g.Refused(command.Member, command.Op, result.Reason, now)
+		g.Rejected(command.Member, command.Op, result.Reason, now)
 		c.log.Info().Str("job", command.Attempt.Job).Str("worker", w.id).Str("op", string(command.Op)).
 			Str("reason", result.Reason).Msg("command refused")
 	}
--- a/control/tenure.go
+++ b/control/tenure.go
@@ -150,7 +150,7 @@
 		return
 	}
 	for _, g := range c.tenure.gangsOn(w.id) {
-		g.WorkerGone(w.id)
+		g.MarkWorkerGone(w.id)
 	}
 }
 
@@ -172,10 +172,10 @@
 		return
 	}
 	before := g.Phase()
-	if before == gang.PhaseWaitLog && c.logUp() {
-		g.LogUp(now)
+	if before == gang.PhaseAwaitingLog && c.logUp() {
+		g.LogAvailable(now)
 	}
-	if g.WantsIntent() {
+	if g.NeedsIntent() {
 		c.checkIntent(g)
 	}
 	c.correctPlacement(g, now)
@@ -185,7 +185,7 @@
 	} else {
 		t.unsettled[id] = g
 	}
-	if g.WantsIntent() {
+	if g.NeedsIntent() {
 		c.sendIntent(g)
 	}
 	if before != g.Phase() {
--- a/gang/gang.go
+++ b/gang/gang.go
@@ -1,10 +1,11 @@
-// Package gang runs one attempt to run a job on all its workers or on none.
+// Package gang is the state machine of one attempt at a job, which runs on all of its workers or on none.
 //
-// The attempt reserves on every worker, starts every member held, and releases them only when all are resident. It is
-// driven by what the workers report, not by which command was sent: after every event Step says what each member still
-// needs. A lost or late response is therefore harmless, because commands are repeated until a worker reports the state.
+// An attempt reserves resources for every member, starts every member in the held state, and releases them only when all
+// are resident. The state that workers report drives it, not the commands that were sent: after each event, Step advances
+// the attempt and Commands returns what each member still needs. Commands are repeated until a worker reports the
+// intended state, so a lost or late response does no harm.
 //
-// The package is pure: it has no I/O, clock or goroutines. A Gang is not safe for concurrent use.
+// The package has no I/O, clock or goroutines. A Gang is not safe for concurrent use.
 package gang
 
 import (
@@ -19,53 +20,53 @@
 
 // Bounds of an attempt.
 const (
-	// TaskLease is the length of the lease of a task.
+	// TaskLease is the length of a task lease. A worker stops a task whose lease is not renewed within this time.
 	TaskLease = 30 * time.Second
-	// ReservationTTL is the lifetime of a reservation that is not started.
+	// ReservationTTL is the lifetime of a reservation whose task is not started.
 	ReservationTTL = 10 * time.Second
-	// ReserveBound is the time in which all members must be reserved.
+	// ReserveBound limits the time until all members are reserved.
 	ReserveBound = 3 * time.Second
-	// StartBound is the time in which all reserved members must be resident.
+	// StartBound limits the time until all reserved members are resident.
 	StartBound = 8 * time.Second
-	// IntentBound is the time in which the intent of a run-once job must be read back.
+	// IntentBound limits the time until the intent of a run-once job is read back from the log.
 	IntentBound = 5 * time.Second
-	// ReleaseBound is the time in which all releases must be confirmed.
+	// ReleaseBound limits the time until all releases are confirmed.
 	ReleaseBound = 2 * time.Second
-	// LossCheckpointBound limits the checkpoint of members that are stopped because another one was lost.
+	// LossCheckpointBound limits the checkpoint of members that are stopped because another member was lost.
 	LossCheckpointBound = 5 * time.Second
-	// StopBound is the time in which the members on reachable workers must have stopped, checkpoint included.
+	// StopBound limits the time until the members on reachable workers have stopped, including their checkpoints.
 	StopBound = LossCheckpointBound + 5*time.Second
-	// DifferBound is the longest time for which members may differ in state.
+	// DifferBound limits the time during which some members run while others do not.
 	DifferBound = TaskLease + StopBound
-	// repeatInterval is the time after which an acknowledged command without visible effect is sent again. It bounds
-	// the delay until a member is seen to be resident, which is part of the 1.8 s that an urgent job has.
+	// repeatInterval is the time after which an acknowledged command that has had no visible effect is sent again. It
+	// bounds the delay until a member is known to be resident, which is part of the 1.8 s that an urgent job has to start.
 	repeatInterval = 250 * time.Millisecond
 )
 
-// Phase is the progress of an attempt.
+// Phase is a stage in the life of an attempt.
 type Phase string
 
-// The phases.
+// The phases of an attempt.
 const (
-	// PhaseWaitLog holds a run-once attempt back before its reservation while the log is known to be down.
-	PhaseWaitLog   Phase = "wait_log"
-	PhaseReserving Phase = "reserving"
-	PhaseStarting  Phase = "starting"
-	// PhaseIntending waits until the intent of a run-once job is read back as the winner.
-	PhaseIntending Phase = "intending"
-	PhaseReleasing Phase = "releasing"
-	PhaseRunning   Phase = "running"
-	PhaseStopping  Phase = "stopping"
-	PhaseEnded     Phase = "ended"
+	// PhaseAwaitingLog delays a run-once attempt before its reservation while the log is known to be down.
+	PhaseAwaitingLog Phase = "wait_log"
+	PhaseReserving   Phase = "reserving"
+	PhaseStarting    Phase = "starting"
+	// PhaseAwaitingIntent waits until the log shows that the intent of this run-once attempt won.
+	PhaseAwaitingIntent Phase = "intending"
+	PhaseReleasing      Phase = "releasing"
+	PhaseRunning        Phase = "running"
+	PhaseStopping       Phase = "stopping"
+	PhaseEnded          Phase = "ended"
 )
 
 // Member states beyond those of infra.TaskState.
 const (
-	// stateNone marks a member of which its worker knows nothing.
+	// stateNone marks a member that its worker does not know yet.
 	stateNone infra.TaskState = ""
-	// stateGone marks a member whose worker restarted, or whose task lease must have lapsed.
+	// stateGone marks a member whose worker restarted, or whose task lease must have expired.
 	stateGone infra.TaskState = "gone"
-	// stateUnseen marks a member of an adopted gang whose worker was not yet read.
+	// stateUnseen marks a member of an adopted gang that no inventory has shown yet.
 	stateUnseen infra.TaskState = "unseen"
 )
 
@@ -74,78 +75,81 @@
 	state      infra.TaskState
 	checkpoint string
 	detail     string
-	// ackOp and ackAt are the last acknowledged command and its time.
+	// ackOp and ackAt are the operation of the last acknowledged command and the time of the acknowledgement.
 	ackOp infra.Op
 	ackAt time.Time
 }
 
-// over reports whether the member uses nothing.
-func (m *member) over() bool { return m.state == stateNone || m.state == stateGone || m.state.Ended() }
+// inactive reports whether the member occupies no resources: it is not reserved yet, gone or ended.
+func (m *member) inactive() bool {
+	return m.state == stateNone || m.state == stateGone || m.state.Ended()
+}
 
-func (m *member) runs() bool {
+func (m *member) running() bool {
 	return m.state == infra.TaskRunning || m.state == infra.TaskCheckpointing
 }
 
-// resident reports whether the member is loaded, or has even run.
+// resident reports whether the member is loaded: it is held, is running or has completed.
 func (m *member) resident() bool {
-	return m.state == infra.TaskHeld || m.runs() || m.state == infra.TaskDone
+	return m.state == infra.TaskHeld || m.running() || m.state == infra.TaskDone
 }
 
-// Gang is one attempt.
+// Gang is one attempt at a job.
 type Gang struct {
 	job     jobs.Job
 	attempt uint64
 	phase   Phase
 	members []member
-	// from holds the checkpoint of each member to start from; empty for a fresh start.
-	from []string
-	// deadline is the bound of the present phase; zero if it has none.
+	// resumeFrom holds the checkpoint from which each member starts; empty for a fresh start.
+	resumeFrom []string
+	// deadline is the end of the current phase; zero if the phase has no bound.
 	deadline time.Time
-	// released reports whether a release may have been sent, by this or a previous holder.
+	// released is set once a release may have been sent, by this or a previous lease holder.
 	released bool
-	// intentWon is set once the log shows the own intent as winner.
+	// intentWon is set once the log shows that the intent of this attempt won.
 	intentWon bool
 	// result is set when the gang stops or ends.
 	result scheduler.Result
-	// checkpointMS bounds the checkpoint of the stop under way; 0 stops without one.
+	// checkpointMS limits the checkpoints of the stop in progress; 0 stops without checkpoints.
 	checkpointMS int64
 	stopping     bool
-	// planned is set if the stop was asked for, in contrast to a loss.
+	// planned is set if the stop was requested rather than caused by a loss or failure.
 	planned bool
-	// differSince is the time since which members differ in state; zero if they do not.
-	differSince time.Time
+	// divergedSince is the time since which only some members run; zero if all or none do.
+	divergedSince time.Time
 }
 
-// DoneCheckpoint stands for the checkpoint of a member that had completed when the gang was stopped. The member is not
-// started again.
+// DoneCheckpoint takes the place of a checkpoint for a member that had completed when the gang was stopped. The member is
+// not started again.
 const DoneCheckpoint = "done"
 
-// New returns an attempt at a job on a placement. With waitLog it starts in PhaseWaitLog. from holds the checkpoints to
-// continue from, by member; nil for a fresh start.
-func New(job jobs.Job, attempt uint64, placement scheduler.Placement, from []string, waitLog bool, now time.Time) *Gang {
-	g := &Gang{job: job, attempt: attempt, from: from}
+// New returns an attempt at a job on a placement. With awaitLog it starts in PhaseAwaitingLog. resumeFrom holds the
+// checkpoint from which each member continues; nil for a fresh start.
+func New(job jobs.Job, attempt uint64, placement scheduler.Placement, resumeFrom []string, awaitLog bool, now time.Time) *Gang {
+	g := &Gang{job: job, attempt: attempt, resumeFrom: resumeFrom}
 	for i, worker := range placement {
 		m := member{worker: worker}
-		if i < len(from) && from[i] == DoneCheckpoint {
+		if i < len(resumeFrom) && resumeFrom[i] == DoneCheckpoint {
 			m.state = infra.TaskDone
 		}
 		g.members = append(g.members, m)
 	}
-	g.phase = PhaseWaitLog
-	if !waitLog {
-		g.enter(PhaseReserving, ReserveBound, now)
+	g.phase = PhaseAwaitingLog
+	if !awaitLog {
+		g.enterPhase(PhaseReserving, ReserveBound, now)
 	}
 	return g
 }
 
-// Adopt returns an attempt that a previous holder started. Its members are unseen until they are observed. intentWon
-// says that the log holds the intent of this very attempt. from holds the checkpoints that the attempt continued from.
-func Adopt(job jobs.Job, attempt uint64, from []string, intentWon bool) *Gang {
-	g := &Gang{job: job, attempt: attempt, from: from, phase: PhaseRunning, intentWon: intentWon, released: intentWon}
+// Adopt returns an attempt that a previous lease holder started. Its members are unseen until they are observed. intentWon
+// says whether the intent of this attempt is the winner in the log. resumeFrom holds the checkpoint from which each member
+// of the attempt continued; nil for a fresh start.
+func Adopt(job jobs.Job, attempt uint64, resumeFrom []string, intentWon bool) *Gang {
+	g := &Gang{job: job, attempt: attempt, resumeFrom: resumeFrom, phase: PhaseRunning, intentWon: intentWon, released: intentWon}
 	g.members = make([]member, job.Shape.Members)
 	for i := range g.members {
 		g.members[i].state = stateUnseen
-		if i < len(from) && from[i] == DoneCheckpoint {
+		if i < len(resumeFrom) && resumeFrom[i] == DoneCheckpoint {
 			g.members[i].state = infra.TaskDone
 		}
 	}
@@ -155,19 +159,19 @@
 // Job returns the job.
 func (g *Gang) Job() jobs.Job { return g.job }
 
-// ID returns the attempt's id.
+// ID returns the id of the attempt.
 func (g *Gang) ID() infra.AttemptID { return infra.AttemptID{Job: g.job.ID, Attempt: g.attempt} }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (g *Gang) Phase() Phase { return g.phase }
 
-// Released reports whether a member may have run.
+// Released reports whether a release may have been sent, so that a member may have run.
 func (g *Gang) Released() bool { return g.released }
 
-// Result returns how the attempt ended; valid in PhaseEnded.
+// Result returns how the attempt ended. It is valid in PhaseEnded.
 func (g *Gang) Result() scheduler.Result { return g.result }
 
-// Placement returns the worker of each member; empty strings for unseen members of an adopted gang.
+// Placement returns the worker of each member; an unseen member of an adopted gang has an empty string.
 func (g *Gang) Placement() scheduler.Placement {
 	placement := make(scheduler.Placement, len(g.members))
 	for i := range g.members {
@@ -176,15 +180,16 @@
 	return placement
 }
 
-// Unseen reports whether a member of an adopted gang was not found yet.
+// Unseen reports whether some member of an adopted gang has not been found yet.
 func (g *Gang) Unseen() bool {
 	return g.any(func(m *member) bool { return m.state == stateUnseen })
 }
 
-// Planned reports whether the attempt ended by a stop that was asked for.
+// Planned reports whether Stop requested the end of the attempt.
 func (g *Gang) Planned() bool { return g.planned }
 
-// Checkpoints returns the checkpoint of each member, DoneCheckpoint for a completed one, nil unless all have one.
+// Checkpoints returns the checkpoint of each member, with DoneCheckpoint for completed members. It returns nil if any
+// other member has no checkpoint.
 func (g *Gang) Checkpoints() []string {
 	names := make([]string, len(g.members))
 	for i := range g.members {
@@ -207,28 +212,28 @@
 		return jobs.StateRunning
 	case PhaseStopping, PhaseEnded:
 		return jobs.StateStopping
-	case PhaseWaitLog:
+	case PhaseAwaitingLog:
 		return jobs.StateWaiting
 	}
 	return jobs.StateStarting
 }
 
-// Reason says in one line what the attempt waits for; empty while it runs.
+// Reason returns one line that says what the attempt is waiting for; empty while it runs.
 func (g *Gang) Reason() string {
 	switch g.phase {
-	case PhaseWaitLog:
-		return "waits for the log, which is down: a run-once job starts only after its intent is recorded"
-	case PhaseIntending:
-		return "waits until its intent is recorded in the log"
+	case PhaseAwaitingLog:
+		return "waiting for the log, which is unavailable: a run-once job starts only after its intent is recorded"
+	case PhaseAwaitingIntent:
+		return "waiting for its intent to be recorded in the log"
 	case PhaseStopping:
-		return "stops: " + g.result.Detail
+		return "stopping: " + g.result.Detail
 	case PhaseReserving, PhaseStarting, PhaseReleasing:
-		return fmt.Sprintf("starts (%s)", g.phase)
+		return fmt.Sprintf("starting (phase %s)", g.phase)
 	}
 	return ""
 }
 
-// Workers returns the distinct workers of the members that are known.
+// Workers returns the distinct workers of all members whose worker is known.
 func (g *Gang) Workers() []string {
 	seen := map[string]bool{}
 	var workers []string
@@ -241,13 +246,13 @@
 	return workers
 }
 
-// Renewable reports whether the task leases of the attempt are to be renewed. Members that are being stopped without a
-// checkpoint are left to lapse.
+// Renewable reports whether the task leases of the attempt are to be renewed. The leases of members that are being stopped
+// without a checkpoint are left to expire.
 func (g *Gang) Renewable() bool {
 	return g.phase != PhaseEnded && (!g.stopping || g.checkpointMS > 0)
 }
 
-func (g *Gang) enter(phase Phase, bound time.Duration, now time.Time) {
+func (g *Gang) enterPhase(phase Phase, bound time.Duration, now time.Time) {
 	g.phase = phase
 	g.deadline = time.Time{}
 	if bound > 0 {
@@ -268,20 +273,20 @@
 	return !g.all(func(m *member) bool { return !ok(m) })
 }
 
-// checkWhole asserts P2: members differ in state for at most DifferBound. A member that completed by itself does not
-// count, since tasks of a gang may end at different times.
-func (g *Gang) checkWhole(now time.Time) {
-	running := g.any((*member).runs)
-	lost := g.any(func(m *member) bool {
-		return m.state != infra.TaskDone && m.state != stateUnseen && !m.runs()
+// checkDivergence asserts P2: a gang runs partially for at most DifferBound. Completed members do not count, since the
+// tasks of a gang may end at different times. Neither do unseen members, whose state is not known yet.
+func (g *Gang) checkDivergence(now time.Time) {
+	anyRunning := g.any((*member).running)
+	anyStopped := g.any(func(m *member) bool {
+		return m.state != infra.TaskDone && m.state != stateUnseen && !m.running()
 	})
-	if !running || !lost {
-		g.differSince = time.Time{}
+	if !anyRunning || !anyStopped {
+		g.divergedSince = time.Time{}
 		return
 	}
-	if g.differSince.IsZero() {
-		g.differSince = now
+	if g.divergedSince.IsZero() {
+		g.divergedSince = now
 	}
-	invariant.Check(now.Sub(g.differSince) <= DifferBound, invariant.GangWhole,
-		"members of job %s attempt %d differ since %s", g.job.ID, g.attempt, g.differSince)
+	invariant.Check(now.Sub(g.divergedSince) <= DifferBound, invariant.GangWhole,
+		"members of job %s attempt %d differ since %s", g.job.ID, g.attempt, g.divergedSince)
 }
--- a/gang/gang_test.go
+++ b/gang/gang_test.go
@@ -12,53 +12,53 @@
 	"github.com/redwingthread/redwingthread/scheduler"
 )
 
-const members = 3
+const memberCount = 3
 
-// cluster is the workers' side of one attempt, one member on each worker.
+// cluster simulates the workers of one attempt, with one member on each worker.
 type cluster struct {
 	t     *testing.T
 	g     *Gang
 	now   time.Time
 	tasks []infra.Task
-	// dead, refuse and silent name members by index. The commands of silent ones have effect, their answers are lost.
-	dead, silent map[int]bool
-	refuse       map[int]infra.Op
-	sent         map[infra.Op]int
+	// dead, lossy and rejects are keyed by member index. Commands to a lossy member take effect but the responses are lost.
+	dead, lossy map[int]bool
+	rejects     map[int]infra.Op
+	sent        map[infra.Op]int
 }
 
 func newCluster(t *testing.T, job jobs.Job) *cluster {
-	c := &cluster{t: t, now: time.Unix(1000, 0), tasks: make([]infra.Task, members), dead: map[int]bool{},
-		silent: map[int]bool{}, refuse: map[int]infra.Op{}, sent: map[infra.Op]int{}}
+	c := &cluster{t: t, now: time.Unix(1000, 0), tasks: make([]infra.Task, memberCount), dead: map[int]bool{},
+		lossy: map[int]bool{}, rejects: map[int]infra.Op{}, sent: map[infra.Op]int{}}
 	job.ID, job.Run = "a", []string{"run"}
-	job.Shape = resource.Shape{Members: members, PerMember: resource.Resources{MilliCPU: 1}}
+	job.Shape = resource.Shape{Members: memberCount, PerMember: resource.Resources{MilliCPU: 1}}
 	c.g = New(job, 1, scheduler.Placement{"w-0", "w-1", "w-2"}, nil, false, c.now)
 	return c
 }
 
 func worker(i int) string { return fmt.Sprintf("w-%d", i) }
 
-// step lets 100 ms pass: every member's worker gets its commands and answers with its inventory.
+// step advances the time by 100 ms. Each worker applies its commands and responds with its inventory.
 func (c *cluster) step() {
 	c.now = c.now.Add(100 * time.Millisecond)
 	c.g.Step(c.now)
-	for i := range members {
+	for i := range memberCount {
 		commands := c.g.Commands(worker(i), c.now)
 		if c.dead[i] {
 			continue
 		}
 		for _, command := range commands {
 			c.sent[command.Op]++
-			if c.refuse[i] != command.Op {
+			if c.rejects[i] != command.Op {
 				c.apply(i, command)
 			}
 		}
-		if c.silent[i] {
+		if c.lossy[i] {
 			continue
 		}
 		c.observe(i)
 		for _, command := range commands {
-			if c.refuse[i] == command.Op {
-				c.g.Refused(i, command.Op, "no", c.now)
+			if c.rejects[i] == command.Op {
+				c.g.Rejected(i, command.Op, "no", c.now)
 			} else {
 				c.g.Acknowledged(i, command.Op, c.now)
 			}
@@ -94,11 +94,11 @@
 	if c.tasks[i].State != "" {
 		c.g.Observe(i, worker(i), c.tasks[i])
 	}
-	c.g.Absent(worker(i), false, func(int) bool { return c.tasks[i].State != "" })
+	c.g.ObserveMissing(worker(i), false, func(int) bool { return c.tasks[i].State != "" })
 }
 
-// until steps until the phase is reached, at most for a minute.
-func (c *cluster) until(phase Phase) {
+// stepUntil steps until the gang reaches the phase, and fails the test after one minute of simulated time.
+func (c *cluster) stepUntil(phase Phase) {
 	c.t.Helper()
 	for range 600 {
 		if c.g.Phase() == phase {
@@ -109,37 +109,37 @@
 	c.t.Fatalf("phase is %s after a minute, want %s; result %+v", c.g.Phase(), phase, c.g.Result())
 }
 
-// kill restarts a member's worker without its tasks.
+// kill reports a restart of a member's worker that lost its tasks, and makes the worker ignore all further commands.
 func (c *cluster) kill(i int) {
 	c.tasks[i] = infra.Task{}
-	c.g.Absent(worker(i), true, func(int) bool { return false })
+	c.g.ObserveMissing(worker(i), true, func(int) bool { return false })
 	c.dead[i] = true
 }
 
-func recordViolations(t *testing.T) {
+func failOnViolation(t *testing.T) {
 	restore := invariant.SetRecorder(func(v invariant.Violation) { t.Error(v) })
 	t.Cleanup(restore)
 }
 
-// TestWorkerDeathAtEachStep guards against members that go on after another one was lost.
+// TestWorkerDeathAtEachStep guards against a gang whose other members keep running after the worker of one member died.
 func TestWorkerDeathAtEachStep(t *testing.T) {
-	recordViolations(t)
+	failOnViolation(t)
 	cases := map[Phase]scheduler.ResultKind{PhaseReserving: scheduler.ResultNotStarted, PhaseStarting: scheduler.ResultNotStarted,
 		PhaseReleasing: scheduler.ResultLost, PhaseRunning: scheduler.ResultLost}
 	for phase, want := range cases {
 		t.Run(string(phase), func(t *testing.T) {
 			c := newCluster(t, jobs.Job{})
-			c.until(phase)
+			c.stepUntil(phase)
 			if phase == PhaseReserving {
 				c.dead[1] = true
 			} else {
 				c.kill(1)
 			}
-			c.until(PhaseEnded)
+			c.stepUntil(PhaseEnded)
 			if c.g.Result().Kind != want && !(phase == PhaseReleasing && c.g.Result().Kind == scheduler.ResultNotStarted) {
 				t.Fatalf("result %+v, want %s", c.g.Result(), want)
 			}
-			for i := range members {
+			for i := range memberCount {
 				if s := c.tasks[i].State; s == infra.TaskRunning || s == infra.TaskHeld {
 					t.Fatalf("member %d is left %s", i, s)
 				}
@@ -148,14 +148,14 @@
 	}
 }
 
-// TestRefusalAtEachStep guards against a gang that starts without a member which was refused.
+// TestRefusalAtEachStep guards against a gang that runs without a member whose worker rejected a command.
 func TestRefusalAtEachStep(t *testing.T) {
-	recordViolations(t)
+	failOnViolation(t)
 	for _, op := range []infra.Op{infra.OpReserve, infra.OpStart, infra.OpRelease} {
 		t.Run(string(op), func(t *testing.T) {
 			c := newCluster(t, jobs.Job{})
-			c.refuse[2] = op
-			c.until(PhaseEnded)
+			c.rejects[2] = op
+			c.stepUntil(PhaseEnded)
 			if c.g.Result().Kind == scheduler.ResultCompleted || len(c.g.Result().Workers) != 1 || c.g.Result().Workers[0] != "w-2" {
 				t.Fatalf("result %+v", c.g.Result())
 			}
@@ -163,56 +163,60 @@
 	}
 }
 
-// TestLostAnswersAreRepeated guards against a gang that fails because answers were lost for less than its bounds.
+// TestLostAnswersAreRepeated guards against a gang that fails although responses were lost for less than the bound of its
+// phase.
 func TestLostAnswersAreRepeated(t *testing.T) {
-	recordViolations(t)
+	failOnViolation(t)
 	c := newCluster(t, jobs.Job{})
 	for _, phase := range []Phase{PhaseReserving, PhaseStarting, PhaseReleasing} {
-		c.until(phase)
-		c.silent[1] = true
+		c.stepUntil(phase)
+		c.lossy[1] = true
 		for range 10 {
 			c.step()
 		}
 		if c.g.Phase() != phase {
-			t.Fatalf("phase %s ended without an answer", phase)
+			t.Fatalf("phase %s ended although the responses of member 1 were lost", phase)
 		}
-		c.silent[1] = false
+		c.lossy[1] = false
 	}
-	c.until(PhaseRunning)
+	c.stepUntil(PhaseRunning)
 }
 
-// TestReleaseBound guards against a gang that runs partially for longer than the release bound and the stop bound.
-func TestReleaseBound(t *testing.T) {
-	recordViolations(t)
+// TestUnconfirmedReleaseEndsWithinBound guards against a gang that runs partially for longer than the release bound and
+// the stop bound because one worker rejects the release.
+func TestUnconfirmedReleaseEndsWithinBound(t *testing.T) {
+	failOnViolation(t)
 	c := newCluster(t, jobs.Job{CanCheckpoint: true})
-	c.until(PhaseReleasing)
-	c.refuse[0] = infra.OpRelease
+	c.stepUntil(PhaseReleasing)
+	c.rejects[0] = infra.OpRelease
 	start := c.now
-	c.until(PhaseEnded)
-	// The workers of this test stop at once, so only the release bound and two steps may pass.
+	c.stepUntil(PhaseEnded)
+	// The simulated workers stop their tasks at once, so only the release bound and two steps may pass.
 	if took := c.now.Sub(start); took > ReleaseBound+200*time.Millisecond || c.g.Result().Kind != scheduler.ResultLost {
-		t.Fatalf("ended after %s with %+v", took, c.g.Result())
+		t.Fatalf("ended after %s with result %+v", took, c.g.Result())
 	}
 }
 
-// TestUnreachableMemberIsWaitedOut guards against an end, and so a restart, while a member may still run.
-func TestUnreachableMemberIsWaitedOut(t *testing.T) {
+// TestStopWaitsForUnreachableMember guards against an attempt that ends, so that the job can start again, while a member
+// on an unreachable worker may still run.
+func TestStopWaitsForUnreachableMember(t *testing.T) {
 	c := newCluster(t, jobs.Job{})
-	c.until(PhaseRunning)
+	c.stepUntil(PhaseRunning)
 	c.dead[1] = true
 	c.g.Stop("drain", 0)
 	for range 100 {
 		c.step()
 	}
 	if c.g.Phase() != PhaseStopping {
-		t.Fatalf("phase %s although member 1 may run", c.g.Phase())
+		t.Fatalf("phase %s although member 1 may still run", c.g.Phase())
 	}
-	c.g.WorkerGone(worker(1))
-	c.until(PhaseEnded)
+	c.g.MarkWorkerGone(worker(1))
+	c.stepUntil(PhaseEnded)
 }
 
-// TestRunOnceNeedsItsIntent guards against a release before the intent is read back, or after another one won.
-func TestRunOnceNeedsItsIntent(t *testing.T) {
+// TestRunOnceIsReleasedOnlyAfterItsIntentWins guards against the release of a run-once job before its intent is read back
+// or after another intent won.
+func TestRunOnceIsReleasedOnlyAfterItsIntentWins(t *testing.T) {
 	cases := map[string]struct {
 		event func(*Gang)
 		want  scheduler.ResultKind
@@ -225,15 +229,15 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, jobs.Job{RunOnce: true})
-			c.until(PhaseIntending)
+			c.stepUntil(PhaseAwaitingIntent)
 			for range 10 {
 				c.step()
 			}
 			if c.sent[infra.OpRelease] != 0 {
-				t.Fatal("released before the intent was read")
+				t.Fatal("released before the intent was read back")
 			}
 			test.event(c.g)
-			c.until(test.phase)
+			c.stepUntil(test.phase)
 			if c.g.Result().Kind != test.want || test.want != "" && c.sent[infra.OpRelease] != 0 {
 				t.Fatalf("result %+v, %d releases", c.g.Result(), c.sent[infra.OpRelease])
 			}
@@ -241,9 +245,9 @@
 	}
 }
 
-// TestRunOnceEnds guards against a run-once job that is repeated although it may have run, and against one that is
-// given up although its progress was saved.
-func TestRunOnceEnds(t *testing.T) {
+// TestRunOnceResultAfterStopOrLoss guards against a run-once job that is repeated although it may have run, and against one
+// that ends as unknown although its progress was checkpointed.
+func TestRunOnceResultAfterStopOrLoss(t *testing.T) {
 	cases := map[string]struct {
 		job   jobs.Job
 		event func(*cluster)
@@ -258,9 +262,9 @@
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, test.job)
 			c.g.IntentWon()
-			c.until(PhaseRunning)
+			c.stepUntil(PhaseRunning)
 			test.event(c)
-			c.until(PhaseEnded)
+			c.stepUntil(PhaseEnded)
 			if c.g.Result().Kind != test.want {
 				t.Fatalf("result %+v, want %s", c.g.Result(), test.want)
 			}
@@ -268,29 +272,30 @@
 	}
 }
 
-// TestDoneMemberIsNotStartedAgain guards against a second run of a member that had completed before a checkpointed stop.
+// TestDoneMemberIsNotStartedAgain guards against a second run of a member that had completed before a checkpointed stop of
+// its gang.
 func TestDoneMemberIsNotStartedAgain(t *testing.T) {
 	c := newCluster(t, jobs.Job{RunOnce: true, CanCheckpoint: true})
 	c.g.IntentWon()
-	c.until(PhaseRunning)
+	c.stepUntil(PhaseRunning)
 	c.tasks[1].State = infra.TaskDone
 	c.step()
 	c.g.Stop("reclaim", time.Second)
-	c.until(PhaseEnded)
+	c.stepUntil(PhaseEnded)
 	from := c.g.Checkpoints()
 	if c.g.Result().Kind != scheduler.ResultStopped || !c.g.Result().Checkpointed || from[1] != DoneCheckpoint {
 		t.Fatalf("result %+v, checkpoints %v", c.g.Result(), from)
 	}
-	c.tasks = make([]infra.Task, members)
+	c.tasks = make([]infra.Task, memberCount)
 	c.g = New(c.g.job, 2, c.g.Placement(), from, false, c.now)
 	c.g.IntentWon()
-	c.until(PhaseRunning)
+	c.stepUntil(PhaseRunning)
 	if c.tasks[1].State != "" || c.tasks[0].State != infra.TaskRunning {
 		t.Fatalf("tasks %+v", c.tasks)
 	}
 }
 
-// TestAdoptedGangIsWholeOrStopped guards against a takeover that leaves a gang partially released.
+// TestAdoptedGangIsWholeOrStopped guards against a takeover after which an adopted gang stays partially released.
 func TestAdoptedGangIsWholeOrStopped(t *testing.T) {
 	held, running, done := infra.TaskHeld, infra.TaskRunning, infra.TaskDone
 	cases := map[string]struct {
@@ -311,7 +316,7 @@
 				c.tasks[i].State = state
 				c.observe(i)
 			}
-			c.g.UnseenGone()
+			c.g.MarkUnseenGone()
 			c.step()
 			for range 30 {
 				c.step()
@@ -319,7 +324,7 @@
 			if c.g.Phase() != test.want {
 				t.Fatalf("phase %s, want %s", c.g.Phase(), test.want)
 			}
-			for i := range members {
+			for i := range memberCount {
 				if s := c.tasks[i].State; test.want == PhaseRunning && s != running || s == held {
 					t.Fatalf("member %d is %s", i, s)
 				}
@@ -328,21 +333,22 @@
 	}
 }
 
-// TestAssertionNoticesPartialGang guards against an assertion of P2 that never fires.
+// TestAssertionNoticesPartialGang guards against an assertion of P2 that never records a violation, and against one that
+// does so within DifferBound.
 func TestAssertionNoticesPartialGang(t *testing.T) {
 	var log invariant.Log
 	defer invariant.SetRecorder(log.Record)()
 	c := newCluster(t, jobs.Job{})
-	c.until(PhaseRunning)
+	c.stepUntil(PhaseRunning)
 	c.g.members[0].state = infra.TaskHeld
 	c.g.phase = PhaseRunning
-	c.g.checkWhole(c.now)
-	c.g.checkWhole(c.now.Add(DifferBound))
+	c.g.checkDivergence(c.now)
+	c.g.checkDivergence(c.now.Add(DifferBound))
 	if len(log.Violations()) != 0 {
-		t.Fatal("fired within the bound")
+		t.Fatal("violation recorded within the bound")
 	}
-	c.g.checkWhole(c.now.Add(DifferBound + time.Millisecond))
+	c.g.checkDivergence(c.now.Add(DifferBound + time.Millisecond))
 	if len(log.Violations()) != 1 {
-		t.Fatal("did not fire after the bound")
+		t.Fatal("no violation recorded after the bound")
 	}
 }
--- a/gang/step.go
+++ b/gang/step.go
@@ -9,7 +9,8 @@
 	"github.com/redwingthread/redwingthread/scheduler"
 )
 
-// Observe reports the state of a member from a worker's inventory.
+// Observe records the state of a member that a worker's inventory shows. It ignores a member that was placed on another
+// worker or is already gone.
 func (g *Gang) Observe(index int, worker string, task infra.Task) {
 	if index < 0 || index >= len(g.members) {
 		return
@@ -26,14 +27,14 @@
 	if task.Checkpoint != "" {
 		m.checkpoint = task.Checkpoint
 	}
-	if m.runs() || m.state == infra.TaskDone {
+	if m.running() || m.state == infra.TaskDone {
 		g.released = true
 	}
 }
 
-// Absent reports that the inventory of a worker lacks every member that seen does not contain. After a restart of the
-// worker, and for a member that was resident, that is a loss.
-func (g *Gang) Absent(worker string, restarted bool, seen func(index int) bool) {
+// ObserveMissing records that a worker's inventory lacks every member for which seen is false. A missing member counts as
+// lost if the worker restarted or if the member was resident.
+func (g *Gang) ObserveMissing(worker string, restarted bool, seen func(index int) bool) {
 	for i := range g.members {
 		m := &g.members[i]
 		if m.worker != worker || seen(i) || m.state == stateUnseen {
@@ -51,8 +52,8 @@
 	}
 }
 
-// WorkerGone reports that no task of the attempt can run on the worker any more.
-func (g *Gang) WorkerGone(worker string) {
+// MarkWorkerGone records that no task of the attempt can still run on the worker.
+func (g *Gang) MarkWorkerGone(worker string) {
 	for i := range g.members {
 		m := &g.members[i]
 		if m.worker == worker && !m.state.Ended() {
@@ -61,8 +62,9 @@
 	}
 }
 
-// UnseenGone reports that the members which were not found run nowhere: every worker was read or its leases have lapsed.
-func (g *Gang) UnseenGone() {
+// MarkUnseenGone records that members not found so far run nowhere: every worker's inventory was read, or its task leases
+// have expired.
+func (g *Gang) MarkUnseenGone() {
 	for i := range g.members {
 		if g.members[i].state == stateUnseen {
 			g.members[i].state = stateGone
@@ -70,7 +72,7 @@
 	}
 }
 
-// Acknowledged reports that a worker accepted a command.
+// Acknowledged records that a worker accepted a command.
 func (g *Gang) Acknowledged(index int, op infra.Op, now time.Time) {
 	if index < 0 || index >= len(g.members) {
 		return
@@ -79,42 +81,42 @@
 	g.members[index].ackAt = now
 }
 
-// Refused reports that a worker refused a command. The inventory that came with the refusal must be observed first.
-func (g *Gang) Refused(index int, op infra.Op, reason string, now time.Time) {
+// Rejected records that a worker rejected a command. The inventory that came with the rejection must be observed first.
+func (g *Gang) Rejected(index int, op infra.Op, reason string, now time.Time) {
 	if index < 0 || index >= len(g.members) {
 		return
 	}
 	g.Acknowledged(index, op, now)
 	m := &g.members[index]
-	refusedReserve := op == infra.OpReserve && m.state == stateNone && g.phase == PhaseReserving
-	refusedStart := op == infra.OpStart && !m.resident() && g.phase == PhaseStarting
-	if refusedReserve || refusedStart {
+	rejectedReserve := op == infra.OpReserve && m.state == stateNone && g.phase == PhaseReserving
+	rejectedStart := op == infra.OpStart && !m.resident() && g.phase == PhaseStarting
+	if rejectedReserve || rejectedStart {
 		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Workers: []string{m.worker},
-			Detail: "worker " + m.worker + " refused to " + string(op) + ": " + reason})
+			Detail: "worker " + m.worker + " rejected command " + string(op) + ": " + reason})
 	}
 }
 
-// LogUp ends PhaseWaitLog.
-func (g *Gang) LogUp(now time.Time) {
-	if g.phase == PhaseWaitLog {
-		g.enter(PhaseReserving, ReserveBound, now)
+// LogAvailable records that the log responds, which ends PhaseAwaitingLog.
+func (g *Gang) LogAvailable(now time.Time) {
+	if g.phase == PhaseAwaitingLog {
+		g.enterPhase(PhaseReserving, ReserveBound, now)
 	}
 }
 
-// WantsIntent reports whether the intent has to be appended to the log.
-func (g *Gang) WantsIntent() bool { return g.phase == PhaseIntending }
+// NeedsIntent reports whether the attempt is waiting for its intent in the log.
+func (g *Gang) NeedsIntent() bool { return g.phase == PhaseAwaitingIntent }
 
-// IntentWon reports that the log shows the own intent as the winner.
+// IntentWon records that the intent of this attempt won: it is the first valid one of the job in the log.
 func (g *Gang) IntentWon() { g.intentWon = true }
 
-// IntentLost reports that another intent won: the attempt must not be released.
+// IntentLost records that the attempt cannot win the intent, so it must not be released.
 func (g *Gang) IntentLost() {
 	if !g.released && !g.stopping {
-		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "another scheduler recorded its intent first"})
+		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the intent of another attempt was recorded first"})
 	}
 }
 
-// Stop asks for a planned stop, with a checkpoint within bound if bound is positive.
+// Stop requests a planned stop, with a checkpoint within bound if bound is positive.
 func (g *Gang) Stop(detail string, bound time.Duration) {
 	if g.stopping || g.phase == PhaseEnded {
 		return
@@ -142,7 +144,7 @@
 	}
 }
 
-// Step advances the attempt after events or the passing of time.
+// Step advances the attempt. It must be called after each event and at the time that Next returns.
 func (g *Gang) Step(now time.Time) {
 	for {
 		before := g.phase
@@ -151,27 +153,27 @@
 			break
 		}
 	}
-	g.checkWhole(now)
+	g.checkDivergence(now)
 }
 
 // Next returns the time at which Step must be called without an event; zero if there is none.
 func (g *Gang) Next() time.Time { return g.deadline }
 
 func (g *Gang) advance(now time.Time) {
-	late := !g.deadline.IsZero() && !now.Before(g.deadline)
+	expired := !g.deadline.IsZero() && !now.Before(g.deadline)
 	switch g.phase {
 	case PhaseReserving:
-		g.advanceReserving(late, now)
+		g.advanceReserving(expired, now)
 	case PhaseStarting:
-		g.advanceStarting(late, now)
-	case PhaseIntending:
+		g.advanceStarting(expired, now)
+	case PhaseAwaitingIntent:
 		if g.intentWon {
-			g.enter(PhaseReleasing, ReleaseBound, now)
-		} else if !g.checkLoss() && late {
-			g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the intent was not recorded in time"})
+			g.enterPhase(PhaseReleasing, ReleaseBound, now)
+		} else if !g.checkLoss() && expired {
+			g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "intent not recorded in time"})
 		}
 	case PhaseReleasing:
-		g.advanceReleasing(late, now)
+		g.advanceReleasing(expired, now)
 	case PhaseRunning:
 		g.advanceRunning(now)
 	case PhaseStopping:
@@ -179,52 +181,53 @@
 	}
 }
 
-func (g *Gang) advanceReserving(late bool, now time.Time) {
+func (g *Gang) advanceReserving(expired bool, now time.Time) {
 	reserved := func(m *member) bool { return m.state == infra.TaskReserved || m.resident() }
 	if g.all(reserved) {
-		g.enter(PhaseStarting, StartBound, now)
+		g.enterPhase(PhaseStarting, StartBound, now)
 		return
 	}
-	lost := func(m *member) bool { return m.over() && m.state != stateNone && m.state != infra.TaskDone }
-	if g.any(lost) || late {
-		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "not reserved in time",
+	lost := func(m *member) bool { return m.inactive() && m.state != stateNone && m.state != infra.TaskDone }
+	if g.any(lost) || expired {
+		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "members not reserved in time",
 			Workers: g.workersOf(func(m *member) bool { return !reserved(m) })})
 	}
 }
 
-func (g *Gang) advanceStarting(late bool, now time.Time) {
+func (g *Gang) advanceStarting(expired bool, now time.Time) {
 	if g.all((*member).resident) {
 		if g.job.RunOnce && !g.intentWon {
-			g.enter(PhaseIntending, IntentBound, now)
+			g.enterPhase(PhaseAwaitingIntent, IntentBound, now)
 			return
 		}
-		g.enter(PhaseReleasing, ReleaseBound, now)
+		g.enterPhase(PhaseReleasing, ReleaseBound, now)
 		return
 	}
 	if g.checkLoss() {
 		return
 	}
-	if late {
-		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "not resident in time",
+	if expired {
+		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "members not resident in time",
 			Workers: g.workersOf(func(m *member) bool { return !m.resident() })})
 	}
 }
 
-func (g *Gang) advanceReleasing(late bool, now time.Time) {
-	if g.all(func(m *member) bool { return m.runs() || m.state == infra.TaskDone }) {
-		g.enter(PhaseRunning, 0, now)
+func (g *Gang) advanceReleasing(expired bool, now time.Time) {
+	if g.all(func(m *member) bool { return m.running() || m.state == infra.TaskDone }) {
+		g.enterPhase(PhaseRunning, 0, now)
 		return
 	}
 	if g.checkLoss() {
 		return
 	}
-	if late {
+	if expired {
 		g.stop(scheduler.Result{Kind: scheduler.ResultLost, Detail: "release not confirmed in time",
 			Workers: g.workersOf(func(m *member) bool { return m.state == infra.TaskHeld })}, LossCheckpointBound)
 	}
 }
 
-// advanceRunning also takes an adopted gang on: one that is wholly resident is released, one that is not is stopped.
+// advanceRunning handles a running gang and a gang adopted in any state: it releases an adopted gang whose members are
+// all resident, and stops one with a lost or merely reserved member.
 func (g *Gang) advanceRunning(now time.Time) {
 	if g.all(func(m *member) bool { return m.state == infra.TaskDone }) {
 		g.end(scheduler.Result{Kind: scheduler.ResultCompleted})
@@ -234,7 +237,7 @@
 		return
 	}
 	if g.any(func(m *member) bool { return m.state == infra.TaskReserved }) {
-		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the previous scheduler stopped before the start"})
+		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the previous scheduler stopped before all members were started"})
 		return
 	}
 	if g.any(func(m *member) bool { return m.state == stateUnseen }) ||
@@ -242,20 +245,20 @@
 		return
 	}
 	if g.job.RunOnce && !g.intentWon && !g.released {
-		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the previous scheduler stopped before the release"})
+		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the previous scheduler stopped before it released the members"})
 		return
 	}
-	g.enter(PhaseReleasing, ReleaseBound, now)
+	g.enterPhase(PhaseReleasing, ReleaseBound, now)
 }
 
 // checkLoss stops the attempt if a member failed or was lost.
 func (g *Gang) checkLoss() bool {
 	hasFailed := func(m *member) bool { return m.state == infra.TaskFailed }
-	isLost := func(m *member) bool { return m.over() && m.state != infra.TaskDone && !hasFailed(m) }
+	isLost := func(m *member) bool { return m.inactive() && m.state != infra.TaskDone && !hasFailed(m) }
 	if !g.any(hasFailed) && !g.any(isLost) {
 		return false
 	}
-	// A lost member of an adopted gang may have no known worker.
+	// The worker of a lost member may be unknown in an adopted gang, so the lists of workers may be empty.
 	failed, lost := g.workersOf(hasFailed), g.workersOf(isLost)
 	switch {
 	case g.any(hasFailed):
@@ -278,7 +281,7 @@
 }
 
 func (g *Gang) advanceStopping() {
-	if !g.all((*member).over) {
+	if !g.all((*member).inactive) {
 		return
 	}
 	result := g.result
@@ -288,18 +291,18 @@
 	case result.Kind == scheduler.ResultNotStarted && g.released:
 		result.Kind = scheduler.ResultLost
 	}
-	result.Checkpointed = g.checkpointMS > 0 && g.savedAll()
+	result.Checkpointed = g.checkpointMS > 0 && g.allCheckpointed()
 	g.end(result)
 }
 
-// savedAll reports whether every member has a checkpoint that it did not start from.
-func (g *Gang) savedAll() bool {
+// allCheckpointed reports whether every member has completed or has a newer checkpoint than the one it started from.
+func (g *Gang) allCheckpointed() bool {
 	if g.Checkpoints() == nil {
 		return false
 	}
-	for i := range g.from {
+	for i := range g.resumeFrom {
 		m := &g.members[i]
-		if m.state != infra.TaskDone && m.checkpoint == g.from[i] {
+		if m.state != infra.TaskDone && m.checkpoint == g.resumeFrom[i] {
 			return false
 		}
 	}
@@ -331,8 +334,8 @@
 	return workers
 }
 
-// Commands returns the commands that members on a worker need now. Commands that the worker has just acknowledged are
-// left out for a while, since their effect may take time.
+// Commands returns the commands that the members on a worker need now. It leaves out a command that the worker
+// acknowledged less than repeatInterval ago, since its effect may take time. A release that it returns counts as sent.
 func (g *Gang) Commands(worker string, now time.Time) []infra.Command {
 	var commands []infra.Command
 	for i := range g.members {
@@ -346,7 +349,7 @@
 		}
 		if command.Op == infra.OpRelease {
 			invariant.Check(!g.job.RunOnce || g.intentWon, invariant.AtMostOnce,
-				"run-once job %s is released in attempt %d without its intent", g.job.ID, g.attempt)
+				"run-once job %s attempt %d is released although its intent did not win", g.job.ID, g.attempt)
 			g.released = true
 		}
 		commands = append(commands, command)
@@ -354,8 +357,8 @@
 	return commands
 }
 
-// RepeatAt returns the time at which a command that was acknowledged without visible effect is sent again; zero if
-// there is none.
+// RepeatAt returns the earliest time at which an acknowledged command without visible effect is due again; zero if there
+// is none.
 func (g *Gang) RepeatAt() time.Time {
 	var at time.Time
 	for i := range g.members {
@@ -364,8 +367,8 @@
 		if !ok || m.ackOp != command.Op {
 			continue
 		}
-		if again := m.ackAt.Add(repeatInterval); at.IsZero() || again.Before(at) {
-			at = again
+		if repeatAt := m.ackAt.Add(repeatInterval); at.IsZero() || repeatAt.Before(at) {
+			at = repeatAt
 		}
 	}
 	return at
@@ -382,14 +385,14 @@
 	case g.phase == PhaseStarting && m.state == infra.TaskReserved:
 		c.Op = infra.OpStart
 		c.Run = g.job.Run
-		if index < len(g.from) {
-			c.Checkpoint = g.from[index]
+		if index < len(g.resumeFrom) {
+			c.Checkpoint = g.resumeFrom[index]
 		}
 	case g.phase == PhaseReleasing && m.state == infra.TaskHeld:
 		c.Op = infra.OpRelease
-	case g.phase == PhaseStopping && !m.over() && m.state != stateUnseen:
+	case g.phase == PhaseStopping && !m.inactive() && m.state != stateUnseen:
 		c.Op = infra.OpStop
-		if g.checkpointMS > 0 && m.runs() {
+		if g.checkpointMS > 0 && m.running() {
 			c.Checkpoint = "stop"
 			c.CheckpointMS = g.checkpointMS
 		}
@@ -399,12 +402,13 @@
 	return c, true
 }
 
-// Cancelled reports whether a stop of the job because of its cancellation may end it as cancelled.
+// Cancelled reports whether a cancelled job whose attempt ended with result may end in StateCancelled.
 func Cancelled(result scheduler.Result) bool {
 	return result.Kind != scheduler.ResultCompleted && result.Kind != scheduler.ResultUnknown
 }
 
-// FinalState returns the final state that a result alone implies, "" if the job may run again.
+// FinalState returns the final state that the result of an attempt implies by itself; "" if the job may run again.
+// released says whether the attempt may have run.
 func FinalState(job jobs.Job, result scheduler.Result, released bool) jobs.State {
 	switch {
 	case result.Kind == scheduler.ResultCompleted:
