--- a/control/control.go
+++ b/control/control.go
@@ -60,7 +60,7 @@
 	outstanding bool
 	retryAt     time.Time
 	// leaseSend is the lease request to make next; nil if there is none.
-	leaseSend *lease.Send
+	leaseSend *lease.Request
 	// wanted is set if a gang or stray task has commands for the worker.
 	wanted bool
 
--- a/control/send.go
+++ b/control/send.go
@@ -72,7 +72,7 @@
 	}
 	r.request = request
 	w.outstanding = true
-	c.lease.Sent(w.id, now)
+	c.lease.RequestSent(w.id, now)
 	c.cost.sent(&request)
 	address := w.address
 	c.requests.Go(func() {
@@ -121,7 +121,7 @@
 	}
 	w.outstanding = false
 	if r.err != nil {
-		c.lease.Failed(r.worker)
+		c.lease.RequestFailed(r.worker)
 		// The worker may have restarted, and its new revisions may reach the known one.
 		w.revision = 0
 		w.retryAt = now.Add(retryInterval)
@@ -129,7 +129,7 @@
 		return
 	}
 	w.retryAt = time.Time{}
-	c.lease.Answered(r.worker, r.kind, r.request.Epoch, r.sent, lease.Answer{
+	c.lease.ApplyResponse(r.worker, r.kind, r.request.Epoch, r.sent, lease.Response{
 		Granted:   r.answer.Granted,
 		Epoch:     r.answer.Epoch,
 		Holder:    r.answer.Holder,
@@ -138,7 +138,7 @@
 	if inventory := r.answer.Inventory; r.kind == lease.KindProbe && inventory != nil {
 		w.probeRevision = inventory.Revision
 	}
-	if r.kind == lease.KindProbe || r.kind == lease.KindGiveUp {
+	if r.kind == lease.KindProbe || r.kind == lease.KindRelinquish {
 		return
 	}
 	c.stepLease(now)
@@ -227,7 +227,7 @@
 	}
 	c.requestsDone()
 	epoch := c.lease.Epoch()
-	sends := c.lease.GiveUp(now)
+	sends := c.lease.Relinquish(now)
 	ctx, cancel := context.WithTimeout(ctx, giveUpTimeout)
 	defer cancel()
 	for _, s := range sends {
@@ -240,7 +240,7 @@
 		c.cost.sent(&request)
 		c.requests.Go(func() {
 			_, err := c.Workers.Commands(ctx, w.address, request)
-			c.responses <- response{worker: w.id, kind: lease.KindGiveUp, err: err}
+			c.responses <- response{worker: w.id, kind: lease.KindRelinquish, err: err}
 		})
 	}
 	c.requestsDone()
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -7,35 +7,35 @@
 	"github.com/redwingthread/redwingthread/lease"
 )
 
-// grantor is the worker's side: one holder at a time, with increasing epochs.
-type grantor struct {
+// workerLease simulates a worker that grants its lease to one holder at a time, with increasing epochs.
+type workerLease struct {
 	holder string
 	epoch  uint64
 	until  time.Time
 }
 
-func (g *grantor) answer(holder string, s lease.Send, now time.Time) lease.Answer {
-	lapsed := !now.Before(g.until)
-	granted := s.Epoch > 0 && (holder == g.holder && s.Epoch >= g.epoch || lapsed && s.Epoch > g.epoch)
+func (g *workerLease) handle(holder string, s lease.Request, now time.Time) lease.Response {
+	expired := !now.Before(g.until)
+	granted := s.Epoch > 0 && (holder == g.holder && s.Epoch >= g.epoch || expired && s.Epoch > g.epoch)
 	if granted {
 		g.holder, g.epoch, g.until = holder, s.Epoch, now.Add(s.Length)
 	}
-	return lease.Answer{Granted: granted, Epoch: g.epoch, Holder: g.holder, ExpiresIn: max(0, g.until.Sub(now))}
+	return lease.Response{Granted: granted, Epoch: g.epoch, Holder: g.holder, ExpiresIn: max(0, g.until.Sub(now))}
 }
 
-// The standby takes over after the active candidate was frozen for longer than its lease.
+// The standby takes over after the active candidate has been frozen for longer than its lease.
 func ExampleCore() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	workers := map[string]*grantor{"w-1": {}, "w-2": {}, "w-3": {}}
+	workers := map[string]*workerLease{"w-1": {}, "w-2": {}, "w-3": {}}
 	first, second := lease.New("vm-1"), lease.New("vm-2")
 	first.SetWorkers([]string{"w-1", "w-2", "w-3"}, now)
 	second.SetWorkers([]string{"w-1", "w-2", "w-3"}, now)
 
 	step := func(name string, c *lease.Core) {
-		sends, _ := c.Step(now, 0.5) // a program passes a random number and steps again at the returned time
-		for _, s := range sends {
-			c.Sent(s.Worker, now)
-			c.Answered(s.Worker, s.Kind, s.Epoch, now, workers[s.Worker].answer(name, s, now), now)
+		requests, _ := c.Step(now, 0.5) // real callers pass a random number and step again at the returned time
+		for _, s := range requests {
+			c.RequestSent(s.Worker, now)
+			c.ApplyResponse(s.Worker, s.Kind, s.Epoch, now, workers[s.Worker].handle(name, s, now), now)
 		}
 	}
 	report := func() {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,11 +1,11 @@
 // Package lease decides which scheduler of a failure domain is active.
 //
 // Each worker grants its lease to one holder at a time, with increasing epochs. A scheduler is active while it holds the
-// leases of a majority of the failure domain's configured workers, by its own conservative reckoning: a grant counts
-// from the time at which the request was sent. Workers refuse older epochs, so a holder whose clock or reckoning is
-// wrong does no harm.
+// leases of a majority of the workers that are configured in the failure domain. It computes the expiry of a lease
+// conservatively, from the time at which it sent the request. Workers reject older epochs, so a holder whose clock is wrong
+// does no harm.
 //
-// The package is pure: it has no I/O, clock or goroutines. A Core is not safe for concurrent use.
+// The package has no I/O, clock or goroutines. A Core is not safe for concurrent use.
 package lease
 
 import (
@@ -13,37 +13,38 @@
 	"time"
 )
 
-// Lengths and intervals of the holder lease.
+// Durations of the holder lease.
 const (
 	// Length is the length of a holder lease.
 	Length = 6 * time.Second
-	// RenewInterval is the time between renewals of the workers on which the majority rests.
+	// RenewInterval is the time between renewals of the leases of a minimal majority of workers.
 	RenewInterval = 2 * time.Second
-	// SpareRenewInterval is the time between renewals of the other workers, whose grants count for the majority as well.
-	// At 120 workers a renewal of all of them every 2 s would use nearly the whole budget of 25 KB/s.
+	// SpareRenewInterval is the time between renewals of the leases of all other workers, which count towards the majority
+	// as well. Renewing the leases of 120 workers every 2 s would use nearly the whole budget of 25 KB/s.
 	SpareRenewInterval = 4 * time.Second
-	// ProbeInterval is the time between a standby's samples of one worker.
+	// ProbeInterval is the time between the probes of a standby, each of which goes to a single worker.
 	ProbeInterval = 2 * time.Second
-	// SetChangeOverlap is the time for which a replaced worker set counts beside the new one: the bound of 8 s within
-	// which a configuration is in force everywhere, and one holder lease.
+	// SetChangeOverlap is the time during which a majority of a replaced worker set is required in addition to one of the
+	// new set: the bound of 8 s within which a configuration is in force everywhere, plus one holder lease.
 	SetChangeOverlap = 8*time.Second + Length
-	// GiveUpLength is the lease length of a request that gives the lease up. The worker contract has no release call.
-	GiveUpLength = time.Millisecond
-	// claimTimeout bounds the wait for the answers to a survey or a claim.
+	// RelinquishLength is the lease length of a request that relinquishes the lease. The worker contract has no request for
+	// it, so the lease is renewed with a length after which it expires at once.
+	RelinquishLength = time.Millisecond
+	// claimTimeout bounds the wait for the responses to a survey or a claim.
 	claimTimeout = 1500 * time.Millisecond
 )
 
-// Phase is what a candidate is doing.
+// Phase is the phase of a candidate for the active role.
 type Phase string
 
-// The phases.
+// The phases of a candidate.
 const (
-	// PhaseStandby samples single workers until a lease looks free.
+	// PhaseStandby probes single workers until one has no unexpired lease.
 	PhaseStandby Phase = "standby"
-	// PhaseSurvey asks all workers whether a majority is free. A claim without it would take workers away from a
-	// holder that has lost touch with only a few of them.
+	// PhaseSurvey probes all workers to find out whether the leases of a majority are free. A claim without a survey would
+	// take workers from a holder that is cut off from only a few of them.
 	PhaseSurvey Phase = "survey"
-	// PhaseClaim claims all workers with a new epoch.
+	// PhaseClaim claims the leases of all workers with a new epoch.
 	PhaseClaim  Phase = "claim"
 	PhaseActive Phase = "active"
 )
@@ -53,48 +54,48 @@
 
 // The request kinds.
 const (
-	// KindProbe asks for the lease in force without a claim: epoch 0 is never granted.
-	KindProbe  Kind = "probe"
-	KindClaim  Kind = "claim"
-	KindRenew  Kind = "renew"
-	KindGiveUp Kind = "give_up"
+	// KindProbe reads the state of the lease without claiming it: epoch 0 is never granted.
+	KindProbe      Kind = "probe"
+	KindClaim      Kind = "claim"
+	KindRenew      Kind = "renew"
+	KindRelinquish Kind = "give_up"
 )
 
-// Send is a request that the owner has to make.
-type Send struct {
+// Request is a request that the caller has to send to a worker.
+type Request struct {
 	Worker string
 	Kind   Kind
 	Epoch  uint64
 	Length time.Duration
 }
 
-// Answer is what a worker said about its lease.
-type Answer struct {
+// Response is the state of a lease as reported by its worker. Holder and Epoch are those of the last grant.
+type Response struct {
 	Granted   bool
 	Epoch     uint64
 	Holder    string
 	ExpiresIn time.Duration
 }
 
-// grant is the state of one worker's lease as far as it is known.
+// grant is the known state of the lease of one worker.
 type grant struct {
-	// until is the time up to which the own lease certainly lasts; zero if none is held.
-	until time.Time
-	// epoch is that of the last own grant.
+	// expiresAt is the time until which this candidate certainly holds the lease; zero if it does not hold it.
+	expiresAt time.Time
+	// epoch is the epoch of the last grant to this candidate.
 	epoch uint64
-	// lastSent is the time of the last request that renews the lease.
+	// lastSent is the time at which the last request was sent.
 	lastSent time.Time
-	// asked and answered belong to the current survey or claim.
-	asked    bool
-	answered bool
-	// freeAt is the time at which another holder's lease lapses, as far as the last refusal or probe told.
+	// requested and responded refer to the current probe, survey or claim.
+	requested bool
+	responded bool
+	// freeAt is the time at which the lease of another holder expires, according to the last response that granted nothing.
 	freeAt time.Time
 }
 
 type workerSet struct {
 	ids []string
-	// until is the time at which a replaced set stops counting; zero for the set in force.
-	until time.Time
+	// expiresAt is the time from which a replaced set is ignored; zero for the current set.
+	expiresAt time.Time
 }
 
 // Core is the state of one candidate.
@@ -102,41 +103,42 @@
 	self  string
 	phase Phase
 	epoch uint64
-	// maxEpoch is the highest epoch seen anywhere.
+	// maxEpoch is the highest epoch that this candidate has used or any worker has reported.
 	maxEpoch uint64
 	sets     []workerSet
 	workers  map[string]*grant
-	// ids holds the keys of workers in order.
+	// ids holds the keys of workers in sorted order.
 	ids []string
 	// quorum lists the workers that are renewed at RenewInterval.
 	quorum map[string]bool
-	// phaseAt is the start of the present phase.
-	phaseAt time.Time
-	// nextProbe is the time of the next sample or survey of a standby.
+	// phaseStart is the start of the current phase.
+	phaseStart time.Time
+	// nextProbe is the time of the next probe or survey of a standby.
 	nextProbe time.Time
-	sample    int
-	// collided is set when a worker holds the own epoch for another holder whose lease has lapsed.
+	// nextSample is the position of the next worker to probe; 0 makes the standby survey all workers instead.
+	nextSample int
+	// collided is set when the last grant of a worker, now expired, was to another holder at the epoch of this candidate.
 	collided bool
 }
 
-// New returns a standby with the holder name self, which must differ between incarnations.
+// New returns a standby with the holder name self. Each incarnation of a process must use another name.
 func New(self string) *Core {
 	return &Core{self: self, phase: PhaseStandby, workers: map[string]*grant{}, quorum: map[string]bool{}}
 }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (c *Core) Phase() Phase { return c.phase }
 
-// Epoch returns the epoch of the own claim or lease.
+// Epoch returns the epoch of the last claim or of the lease of this candidate.
 func (c *Core) Epoch() uint64 { return c.epoch }
 
-// Holds reports whether the lease of a worker is certainly held at now.
+// Holds reports whether this candidate certainly holds the lease of a worker at now.
 func (c *Core) Holds(worker string, now time.Time) bool {
 	g, ok := c.workers[worker]
-	return ok && now.Before(g.until)
+	return ok && now.Before(g.expiresAt)
 }
 
-// SetWorkers sets the configured workers. A replaced set counts beside the new one for SetChangeOverlap.
+// SetWorkers sets the configured workers. For SetChangeOverlap, a majority of the replaced set is required as well.
 func (c *Core) SetWorkers(ids []string, now time.Time) {
 	next := append([]string(nil), ids...)
 	sort.Strings(next)
@@ -144,7 +146,7 @@
 		if equal(c.sets[n-1].ids, next) {
 			return
 		}
-		c.sets[n-1].until = now.Add(SetChangeOverlap)
+		c.sets[n-1].expiresAt = now.Add(SetChangeOverlap)
 	}
 	c.sets = append(c.sets, workerSet{ids: next})
 	c.syncWorkers()
@@ -175,13 +177,14 @@
 	c.chooseQuorum()
 }
 
-// chooseQuorum picks the workers to renew at the short interval: those held now first, then by id.
+// chooseQuorum picks a majority of each set for renewal at RenewInterval: the workers whose leases last longest, then
+// those with the lowest ids. Expiry times that differ by up to RenewInterval count as equal.
 func (c *Core) chooseQuorum() {
 	c.quorum = map[string]bool{}
 	for _, set := range c.sets {
 		ids := append([]string(nil), set.ids...)
 		sort.SliceStable(ids, func(i, k int) bool {
-			return c.workers[ids[i]].until.After(c.workers[ids[k]].until.Add(RenewInterval))
+			return c.workers[ids[i]].expiresAt.After(c.workers[ids[k]].expiresAt.Add(RenewInterval))
 		})
 		need := len(ids)/2 + 1
 		for i := 0; i < need && i < len(ids); i++ {
@@ -194,7 +197,7 @@
 	kept := c.sets[:0]
 	changed := false
 	for _, set := range c.sets {
-		if !set.until.IsZero() && !now.Before(set.until) {
+		if !set.expiresAt.IsZero() && !now.Before(set.expiresAt) {
 			changed = true
 			continue
 		}
@@ -206,7 +209,7 @@
 	}
 }
 
-// majority reports whether ok holds for more than half of the workers of every set that counts.
+// majority reports whether ok holds for more than half of the workers in each of the sets.
 func (c *Core) majority(ok func(*grant) bool) bool {
 	if len(c.sets) == 0 || len(c.sets[len(c.sets)-1].ids) == 0 {
 		return false
@@ -225,104 +228,105 @@
 	return true
 }
 
-// Active reports whether the majority is certainly held at now. The owner must ask before every command, since it may
-// have been paused.
+// Active reports whether the candidate certainly holds the leases of a majority at now. The caller must check it before
+// each command with a fresh now, since its process may have been paused.
 func (c *Core) Active(now time.Time) bool {
-	return c.phase == PhaseActive && c.majority(func(g *grant) bool { return now.Before(g.until) })
+	return c.phase == PhaseActive && c.majority(func(g *grant) bool { return now.Before(g.expiresAt) })
 }
 
-// Confirmed reports whether a majority was granted at the present epoch. Commands must wait for it: another candidate may
-// claim with the epoch to which this holder has just raised its own, and only one of the two gets a majority for it.
+// Confirmed reports whether a majority of leases is held and was granted at the current epoch. Commands must not be sent
+// before that: another candidate may claim with the epoch to which this holder has just raised its own, and only one of
+// the two gets a majority for it.
 func (c *Core) Confirmed(now time.Time) bool {
-	return c.phase == PhaseActive && c.majority(func(g *grant) bool { return now.Before(g.until) && g.epoch == c.epoch })
+	return c.phase == PhaseActive && c.majority(func(g *grant) bool { return now.Before(g.expiresAt) && g.epoch == c.epoch })
 }
 
-// Sent reports that a request which renews or claims the lease of a worker is being sent.
-func (c *Core) Sent(worker string, now time.Time) {
+// RequestSent records that a request to a worker is being sent.
+func (c *Core) RequestSent(worker string, now time.Time) {
 	if g := c.workers[worker]; g != nil {
 		g.lastSent = now
-		g.asked = true
+		g.requested = true
 	}
 }
 
-// Answered applies the answer to a request of the kind and epoch that was sent at sent.
-func (c *Core) Answered(worker string, kind Kind, epoch uint64, sent time.Time, a Answer, now time.Time) {
-	c.maxEpoch = max(c.maxEpoch, a.Epoch)
+// ApplyResponse applies the response to a request of the given kind and epoch that was sent at the time sent.
+func (c *Core) ApplyResponse(worker string, kind Kind, epoch uint64, sent time.Time, r Response, now time.Time) {
+	c.maxEpoch = max(c.maxEpoch, r.Epoch)
 	g := c.workers[worker]
 	if g == nil {
 		return
 	}
-	g.answered = true
-	if a.Granted {
-		c.granted(g, kind, epoch, sent)
+	g.responded = true
+	if r.Granted {
+		c.applyGrant(g, kind, epoch, sent)
 		return
 	}
-	g.freeAt = now.Add(a.ExpiresIn)
-	if a.Holder == c.self {
+	g.freeAt = now.Add(r.ExpiresIn)
+	if r.Holder == c.self {
 		g.freeAt = now
 	}
-	if a.Holder != c.self && a.Epoch == c.epoch && a.ExpiresIn <= 0 {
+	if r.Holder != c.self && r.Epoch == c.epoch && r.ExpiresIn <= 0 {
 		c.collided = true
 	}
 	if kind == KindProbe && c.phase == PhaseStandby && g.freeAt.Before(c.nextProbe) {
 		c.nextProbe = g.freeAt
 	}
 	if kind != KindProbe && epoch == c.epoch {
-		g.until = time.Time{}
+		g.expiresAt = time.Time{}
 	}
 }
 
-func (c *Core) granted(g *grant, kind Kind, epoch uint64, sent time.Time) {
-	if epoch != c.epoch || kind == KindGiveUp || kind == KindProbe {
+func (c *Core) applyGrant(g *grant, kind Kind, epoch uint64, sent time.Time) {
+	if epoch != c.epoch || kind == KindRelinquish || kind == KindProbe {
 		return
 	}
 	if c.phase != PhaseClaim && c.phase != PhaseActive {
 		return
 	}
 	g.epoch = epoch
-	if until := sent.Add(Length); until.After(g.until) {
-		g.until = until
+	if expiresAt := sent.Add(Length); expiresAt.After(g.expiresAt) {
+		g.expiresAt = expiresAt
 	}
 }
 
-// Failed must be called for every request without an answer. A candidate then stops waiting for that worker; a lease that
-// was granted before counts until it lapses.
-func (c *Core) Failed(worker string) {
+// RequestFailed records that a request got no response. The worker may have granted the lease nonetheless, so a candidate
+// that gives up its claim relinquishes this one as well. A lease that was granted earlier counts until it expires.
+func (c *Core) RequestFailed(worker string) {
 	if g := c.workers[worker]; g != nil && c.phase != PhaseActive {
-		g.asked = true
+		g.requested = true
 	}
 }
 
-// GiveUp ends the tenure or candidacy and returns the requests that make the workers free at once.
-func (c *Core) GiveUp(now time.Time) []Send {
-	sends := c.giveBack()
-	c.standby(now, Length)
-	return sends
+// Relinquish returns the candidate to standby, and returns the requests that free the leases at once.
+func (c *Core) Relinquish(now time.Time) []Request {
+	requests := c.relinquishRequests()
+	c.becomeStandby(now, Length)
+	return requests
 }
 
-func (c *Core) giveBack() []Send {
-	var sends []Send
+func (c *Core) relinquishRequests() []Request {
+	var requests []Request
 	if c.phase != PhaseActive && c.phase != PhaseClaim {
 		return nil
 	}
-	for _, id := range c.sorted() {
-		if c.workers[id].asked {
-			sends = append(sends, Send{Worker: id, Kind: KindGiveUp, Epoch: c.epoch, Length: GiveUpLength})
+	for _, id := range c.sortedWorkers() {
+		if c.workers[id].requested {
+			requests = append(requests, Request{Worker: id, Kind: KindRelinquish, Epoch: c.epoch, Length: RelinquishLength})
 		}
 	}
-	return sends
+	return requests
 }
 
-func (c *Core) standby(now time.Time, wait time.Duration) {
+func (c *Core) becomeStandby(now time.Time, wait time.Duration) {
 	c.phase = PhaseStandby
-	c.phaseAt = now
+	c.phaseStart = now
 	c.nextProbe = now.Add(wait)
 	for _, g := range c.workers {
 		*g = grant{}
 	}
 }
 
-func (c *Core) sorted() []string { return c.ids }
+func (c *Core) sortedWorkers() []string { return c.ids }
 
 func equal(a, b []string) bool {
 	if len(a) != len(b) {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// grantor is a worker's side of the lease.
-type grantor struct {
+// workerLease simulates a worker that grants its lease.
+type workerLease struct {
 	epoch  uint64
 	holder string
 	until  time.Time
 }
 
-func (g *grantor) answer(holder string, s Send, now time.Time) Answer {
+func (g *workerLease) handle(holder string, s Request, now time.Time) Response {
 	free := !now.Before(g.until)
 	granted := s.Epoch > 0 && (holder == g.holder && s.Epoch >= g.epoch || free && s.Epoch > g.epoch)
 	if granted {
 		g.epoch, g.holder, g.until = s.Epoch, holder, now.Add(s.Length)
 	}
-	return Answer{Granted: granted, Epoch: g.epoch, Holder: g.holder, ExpiresIn: max(g.until.Sub(now), 0)}
+	return Response{Granted: granted, Epoch: g.epoch, Holder: g.holder, ExpiresIn: max(g.until.Sub(now), 0)}
 }
 
-// world steps candidates over shared workers every 50 ms.
-type world struct {
+// simulation steps candidates that share workers every 50 ms of simulated time.
+type simulation struct {
 	now     time.Time
-	workers map[string]*grantor
+	workers map[string]*workerLease
 	cores   map[string]*Core
-	// cut and paused name candidates, or candidate/worker pairs.
-	cut    map[string]bool
-	paused map[string]bool
-	random *rand.Rand
+	// partitioned is keyed by candidate or by candidate/worker pair, paused by candidate.
+	partitioned map[string]bool
+	paused      map[string]bool
+	random      *rand.Rand
 }
 
-func newWorld(count int, seed uint64, names ...string) *world {
-	w := &world{now: time.Unix(1000, 0), workers: map[string]*grantor{}, cores: map[string]*Core{}, cut: map[string]bool{},
+func newSimulation(count int, seed uint64, names ...string) *simulation {
+	w := &simulation{now: time.Unix(1000, 0), workers: map[string]*workerLease{}, cores: map[string]*Core{}, partitioned: map[string]bool{},
 		paused: map[string]bool{}, random: rand.New(rand.NewPCG(seed, 1))}
 	for i := range count {
-		w.workers[fmt.Sprintf("w-%d", i)] = &grantor{}
+		w.workers[fmt.Sprintf("w-%d", i)] = &workerLease{}
 	}
 	for _, name := range names {
 		w.cores[name] = New(name)
@@ -47,40 +47,41 @@
 	return w
 }
 
-func (w *world) ids(count int) (ids []string) {
+func (w *simulation) ids(count int) (ids []string) {
 	for i := range count {
 		ids = append(ids, fmt.Sprintf("w-%d", i))
 	}
 	return ids
 }
 
-// run lets time pass and returns the largest number of candidates that were active at once, and the sends.
-func (w *world) run(d time.Duration) (most, sent int) {
+// run advances the time by d. It returns the largest number of candidates that were active at once and the number of
+// requests that were sent.
+func (w *simulation) run(d time.Duration) (maxActive, sent int) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(50 * time.Millisecond) {
 		for name, c := range w.cores {
 			if w.paused[name] {
 				continue
 			}
-			sends, _ := c.Step(w.now, w.random.Float64())
-			// Candidates reach the workers in different orders, so that claims at the same time split them.
-			w.random.Shuffle(len(sends), func(i, k int) { sends[i], sends[k] = sends[k], sends[i] })
-			for _, s := range sends {
+			requests, _ := c.Step(w.now, w.random.Float64())
+			// Candidates send to the workers in different orders, so that simultaneous claims split the workers.
+			w.random.Shuffle(len(requests), func(i, k int) { requests[i], requests[k] = requests[k], requests[i] })
+			for _, s := range requests {
 				sent++
-				c.Sent(s.Worker, w.now)
+				c.RequestSent(s.Worker, w.now)
 				g := w.workers[s.Worker]
-				if g == nil || w.cut[name] || w.cut[name+"/"+s.Worker] {
-					c.Failed(s.Worker)
+				if g == nil || w.partitioned[name] || w.partitioned[name+"/"+s.Worker] {
+					c.RequestFailed(s.Worker)
 					continue
 				}
-				c.Answered(s.Worker, s.Kind, s.Epoch, w.now, g.answer(name, s, w.now), w.now)
+				c.ApplyResponse(s.Worker, s.Kind, s.Epoch, w.now, g.handle(name, s, w.now), w.now)
 			}
 		}
-		most = max(most, len(w.active()))
+		maxActive = max(maxActive, len(w.active()))
 	}
-	return most, sent
+	return maxActive, sent
 }
 
-func (w *world) active() (names []string) {
+func (w *simulation) active() (names []string) {
 	for name, c := range w.cores {
 		if c.Active(w.now) {
 			names = append(names, name)
@@ -89,10 +90,11 @@
 	return names
 }
 
-// TestCandidatesConverge guards against candidates that start at once and keep splitting the workers.
+// TestCandidatesConverge guards against candidates that start at the same time and keep splitting the workers, so that none
+// gets a majority.
 func TestCandidatesConverge(t *testing.T) {
 	for seed := range uint64(50) {
-		w := newWorld(7, seed, "a", "b", "c")
+		w := newSimulation(7, seed, "a", "b", "c")
 		most, _ := w.run(15 * time.Second)
 		if len(w.active()) != 1 || most > 1 {
 			t.Fatalf("seed %d: active %v, at most %d at once", seed, w.active(), most)
@@ -100,10 +102,11 @@
 	}
 }
 
-// TestTakeover guards against a takeover later than the holder lease after a crash, and one at all from a live holder.
+// TestTakeover guards against a takeover from a live holder, and against one that takes much longer than the holder lease
+// after a crash.
 func TestTakeover(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newWorld(9, seed, "a", "b")
+		w := newSimulation(9, seed, "a", "b")
 		w.run(10 * time.Second)
 		first := w.active()[0]
 		w.run(60 * time.Second)
@@ -113,37 +116,38 @@
 		w.paused[first] = true
 		w.run(Length + 500*time.Millisecond)
 		if got := w.active(); len(got) != 1 || got[0] == first {
-			t.Fatalf("seed %d: active %v after the death of %s", seed, got, first)
+			t.Fatalf("seed %d: active %v after the crash of %s", seed, got, first)
 		}
-		// The paused holder finds out that it is stale before it acts.
+		// The paused holder must find its lease expired before it sends a command.
 		if w.cores[first].Active(w.now) || w.cores[first].Confirmed(w.now) {
-			t.Fatalf("seed %d: the paused holder believes to be active", seed)
+			t.Fatalf("seed %d: the paused holder still reports that it is active", seed)
 		}
 	}
 }
 
-// TestGiveUpFreesWorkers guards against a planned stop after which the standby waits for the leases to lapse.
-func TestGiveUpFreesWorkers(t *testing.T) {
-	w := newWorld(9, 1, "a", "b")
+// TestRelinquishFreesWorkers guards against a planned stop after which the standby has to wait for the leases to expire.
+func TestRelinquishFreesWorkers(t *testing.T) {
+	w := newSimulation(9, 1, "a", "b")
 	w.run(10 * time.Second)
 	first := w.active()[0]
-	for _, s := range w.cores[first].GiveUp(w.now) {
-		w.workers[s.Worker].answer(first, s, w.now)
+	for _, s := range w.cores[first].Relinquish(w.now) {
+		w.workers[s.Worker].handle(first, s, w.now)
 	}
 	w.paused[first] = true
 	w.run(ProbeInterval + 500*time.Millisecond)
 	if got := w.active(); len(got) != 1 || got[0] == first {
-		t.Fatalf("active %v soon after %s gave up", got, first)
+		t.Fatalf("active %v soon after %s relinquished its leases", got, first)
 	}
 }
 
-// TestMinorityCutKeepsHolder guards against a standby that takes workers away from a holder which lost a few of them.
-func TestMinorityCutKeepsHolder(t *testing.T) {
-	w := newWorld(9, 1, "a", "b")
+// TestMinorityPartitionKeepsHolder guards against a standby that claims workers of a holder that is cut off from a minority
+// of them.
+func TestMinorityPartitionKeepsHolder(t *testing.T) {
+	w := newSimulation(9, 1, "a", "b")
 	w.run(10 * time.Second)
 	first := w.active()[0]
 	for i := range 4 {
-		w.cut[fmt.Sprintf("%s/w-%d", first, i)] = true
+		w.partitioned[fmt.Sprintf("%s/w-%d", first, i)] = true
 	}
 	for range 30 {
 		w.run(time.Second)
@@ -158,9 +162,10 @@
 	}
 }
 
-// TestWorkerSetChange guards against two active schedulers while the configured workers are replaced.
-func TestWorkerSetChange(t *testing.T) {
-	w := newWorld(10, 1, "a", "b")
+// TestWorkerSetChangeKeepsOneActive guards against two active schedulers while the configured workers are replaced and the
+// candidates see the change at different times.
+func TestWorkerSetChangeKeepsOneActive(t *testing.T) {
+	w := newSimulation(10, 1, "a", "b")
 	for _, c := range w.cores {
 		c.SetWorkers(w.ids(5), w.now)
 	}
@@ -182,9 +187,10 @@
 	}
 }
 
-// TestStandbyIsCheap guards against a standby whose probes grow with the failure domain.
-func TestStandbyIsCheap(t *testing.T) {
-	w := newWorld(120, 1, "a", "b")
+// TestStandbyProbeRateIsBounded guards against a standby whose request rate grows with the number of workers, here because
+// one of them is down.
+func TestStandbyProbeRateIsBounded(t *testing.T) {
+	w := newSimulation(120, 1, "a", "b")
 	w.run(10 * time.Second)
 	delete(w.workers, "w-3")
 	_, both := w.run(60 * time.Second)
--- a/lease/step.go
+++ b/lease/step.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Step advances the candidate and returns the requests to make now and the time of the next step without an event.
-// jitter is a random number in 0..1 that spreads the retries of candidates which claimed at the same time.
-func (c *Core) Step(now time.Time, jitter float64) (sends []Send, next time.Time) {
+// Step advances the candidate. It returns the requests to send now and the time at which it must be called again if there
+// is no event before. jitter is a random number in 0..1 that spreads the retries of candidates that claimed at the same
+// time.
+func (c *Core) Step(now time.Time, jitter float64) (requests []Request, next time.Time) {
 	c.expireSets(now)
 	switch c.phase {
 	case PhaseStandby:
-		sends = c.stepStandby(now)
+		requests = c.stepStandby(now)
 	case PhaseSurvey:
-		sends = c.stepSurvey(now, jitter)
+		requests = c.stepSurvey(now, jitter)
 	case PhaseClaim:
-		sends = c.stepClaim(now, jitter)
+		requests = c.stepClaim(now, jitter)
 	case PhaseActive:
-		sends = c.stepActive(now)
+		requests = c.stepActive(now)
 	}
-	return sends, c.nextStep(now)
+	return requests, c.nextStep(now)
 }
 
 func (c *Core) nextStep(now time.Time) time.Time {
@@ -24,7 +25,7 @@
 	case PhaseStandby:
 		return c.nextProbe
 	case PhaseSurvey, PhaseClaim:
-		return c.phaseAt.Add(claimTimeout)
+		return c.phaseStart.Add(claimTimeout)
 	}
 	next := now.Add(RenewInterval)
 	for id, g := range c.workers {
@@ -39,153 +40,156 @@
 	return next
 }
 
-func (c *Core) interval(worker string) time.Duration {
+func (c *Core) renewInterval(worker string) time.Duration {
 	if c.quorum[worker] {
 		return RenewInterval
 	}
 	return SpareRenewInterval
 }
 
-// due returns the time of the next renewal. A worker that was held by a previous holder at the claim is asked again as
-// soon as that lease lapses, since its inventory is needed before planning.
+// due returns the time of the next renewal. If another holder had the lease of a worker at the time of the claim, the
+// lease is requested again as soon as it expires there, since the worker's inventory is needed before planning.
 func (c *Core) due(worker string, g *grant) time.Time {
-	due := g.lastSent.Add(c.interval(worker))
-	if g.until.IsZero() && g.freeAt.After(g.lastSent) && g.freeAt.Before(due) {
+	due := g.lastSent.Add(c.renewInterval(worker))
+	if g.expiresAt.IsZero() && g.freeAt.After(g.lastSent) && g.freeAt.Before(due) {
 		return g.freeAt
 	}
 	return due
 }
 
-// stepStandby samples one worker in turn; the first one that is free, and every start, leads to a survey.
-func (c *Core) stepStandby(now time.Time) []Send {
+// stepStandby probes one worker after the other. It starts a survey if the last probed worker did not respond or its lease
+// is free, and if there was no probe yet.
+func (c *Core) stepStandby(now time.Time) []Request {
 	if now.Before(c.nextProbe) || len(c.workers) == 0 {
 		if len(c.workers) == 0 {
 			c.nextProbe = now.Add(ProbeInterval)
 		}
 		return nil
 	}
-	ids := c.sorted()
-	if c.sample > 0 {
-		last := c.workers[ids[(c.sample-1)%len(ids)]]
-		if last.answered && last.freeAt.After(now) {
+	ids := c.sortedWorkers()
+	if c.nextSample > 0 {
+		last := c.workers[ids[(c.nextSample-1)%len(ids)]]
+		if last.responded && last.freeAt.After(now) {
 			return c.probeNext(ids, now)
 		}
 	}
 	return c.survey(ids, now)
 }
 
-func (c *Core) probeNext(ids []string, now time.Time) []Send {
-	id := ids[c.sample%len(ids)]
-	c.sample++
-	*c.workers[id] = grant{asked: true, lastSent: now}
+func (c *Core) probeNext(ids []string, now time.Time) []Request {
+	id := ids[c.nextSample%len(ids)]
+	c.nextSample++
+	*c.workers[id] = grant{requested: true, lastSent: now}
 	c.nextProbe = now.Add(ProbeInterval)
-	return []Send{{Worker: id, Kind: KindProbe}}
+	return []Request{{Worker: id, Kind: KindProbe}}
 }
 
-func (c *Core) survey(ids []string, now time.Time) []Send {
+func (c *Core) survey(ids []string, now time.Time) []Request {
 	c.phase = PhaseSurvey
-	c.phaseAt = now
-	sends := make([]Send, 0, len(ids))
+	c.phaseStart = now
+	requests := make([]Request, 0, len(ids))
 	for _, id := range ids {
-		*c.workers[id] = grant{asked: true, lastSent: now}
-		sends = append(sends, Send{Worker: id, Kind: KindProbe})
+		*c.workers[id] = grant{requested: true, lastSent: now}
+		requests = append(requests, Request{Worker: id, Kind: KindProbe})
 	}
-	return sends
+	return requests
 }
 
-// stepSurvey claims as soon as a majority is known to be free.
-func (c *Core) stepSurvey(now time.Time, jitter float64) []Send {
-	free := func(g *grant) bool { return g.answered && !g.freeAt.After(now) }
+// stepSurvey starts a claim as soon as the leases of a majority are known to be free.
+func (c *Core) stepSurvey(now time.Time, jitter float64) []Request {
+	free := func(g *grant) bool { return g.responded && !g.freeAt.After(now) }
 	if c.majority(free) {
 		return c.claim(now)
 	}
-	if now.Sub(c.phaseAt) < claimTimeout && !c.allAnswered() {
+	if now.Sub(c.phaseStart) < claimTimeout && !c.allResponded() {
 		return nil
 	}
 	wait := c.untilMajorityFree(now)
 	spread := time.Duration(jitter * float64(200*time.Millisecond))
 	c.phase = PhaseStandby
-	c.phaseAt = now
+	c.phaseStart = now
 	c.nextProbe = now.Add(wait + spread)
-	c.sample = 0
+	c.nextSample = 0
 	if wait >= ProbeInterval {
 		c.nextProbe = now.Add(ProbeInterval)
-		c.sample = c.answeredSample(now)
+		c.nextSample = c.sampleAfterHeldWorker(now)
 	}
 	return nil
 }
 
-// answeredSample returns the sample number after a worker that answered and is held. A survey must not follow from
-// each probe interval because one worker is down.
-func (c *Core) answeredSample(now time.Time) int {
-	for i, id := range c.sorted() {
-		if g := c.workers[id]; g.answered && g.freeAt.After(now) {
+// sampleAfterHeldWorker returns the position after the first worker that responded and has an unexpired lease; 0 if there is
+// none. The next step then probes a single worker. Otherwise a worker that is down would cause a survey in each probe
+// interval.
+func (c *Core) sampleAfterHeldWorker(now time.Time) int {
+	for i, id := range c.sortedWorkers() {
+		if g := c.workers[id]; g.responded && g.freeAt.After(now) {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// untilMajorityFree returns the wait after which a majority may be free, at most ProbeInterval.
+// untilMajorityFree returns the time until the leases of a majority may be free, at most ProbeInterval.
 func (c *Core) untilMajorityFree(now time.Time) time.Duration {
 	for wait := 100 * time.Millisecond; wait < ProbeInterval; wait += 100 * time.Millisecond {
 		at := now.Add(wait)
-		if c.majority(func(g *grant) bool { return g.answered && !g.freeAt.After(at) }) {
+		if c.majority(func(g *grant) bool { return g.responded && !g.freeAt.After(at) }) {
 			return wait
 		}
 	}
 	return ProbeInterval
 }
 
-func (c *Core) allAnswered() bool {
+func (c *Core) allResponded() bool {
 	for _, g := range c.workers {
-		if !g.answered {
+		if !g.responded {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Core) claim(now time.Time) []Send {
+func (c *Core) claim(now time.Time) []Request {
 	c.phase = PhaseClaim
-	c.phaseAt = now
+	c.phaseStart = now
 	c.collided = false
 	c.maxEpoch++
 	c.epoch = c.maxEpoch
-	var sends []Send
-	for _, id := range c.sorted() {
+	var requests []Request
+	for _, id := range c.sortedWorkers() {
 		*c.workers[id] = grant{}
-		sends = append(sends, Send{Worker: id, Kind: KindClaim, Epoch: c.epoch, Length: Length})
+		requests = append(requests, Request{Worker: id, Kind: KindClaim, Epoch: c.epoch, Length: Length})
 	}
-	return sends
+	return requests
 }
 
-// stepClaim becomes active with a majority. A failed claim gives its grants back and waits a random time, so that of
-// two candidates that split the workers one gets ahead.
-func (c *Core) stepClaim(now time.Time, jitter float64) []Send {
-	if c.majority(func(g *grant) bool { return now.Before(g.until) }) {
+// stepClaim makes the candidate active once it holds a majority. After a failed claim it relinquishes the granted leases
+// and waits for a random time, so that one of two candidates that split the workers claims before the other.
+func (c *Core) stepClaim(now time.Time, jitter float64) []Request {
+	if c.majority(func(g *grant) bool { return now.Before(g.expiresAt) }) {
 		c.phase = PhaseActive
-		c.phaseAt = now
+		c.phaseStart = now
 		c.chooseQuorum()
 		return nil
 	}
-	if now.Sub(c.phaseAt) < claimTimeout && !c.allAnswered() {
+	if now.Sub(c.phaseStart) < claimTimeout && !c.allResponded() {
 		return nil
 	}
-	sends := c.giveBack()
-	c.standby(now, 100*time.Millisecond+time.Duration(jitter*float64(2*time.Second)))
-	c.sample = 0
-	return sends
+	requests := c.relinquishRequests()
+	c.becomeStandby(now, 100*time.Millisecond+time.Duration(jitter*float64(2*time.Second)))
+	c.nextSample = 0
+	return requests
 }
 
-// stepActive renews due leases. The owner may renew earlier, along with commands. It ends the tenure once the majority
-// is lost, and raises the epoch if a worker has granted a higher one to a candidate that failed.
-func (c *Core) stepActive(now time.Time) []Send {
+// stepActive renews the leases that are due; the caller may renew earlier, along with commands. It returns to standby once
+// the majority is lost. It raises the epoch if a worker has seen a higher epoch, or the same one from another holder, as
+// happens after a failed claim of another candidate.
+func (c *Core) stepActive(now time.Time) []Request {
 	if !c.Active(now) {
-		sends := c.giveBack()
-		c.standby(now, 0)
-		c.sample = 0
-		return sends
+		requests := c.relinquishRequests()
+		c.becomeStandby(now, 0)
+		c.nextSample = 0
+		return requests
 	}
 	if c.maxEpoch > c.epoch || c.collided {
 		c.epoch = c.maxEpoch + 1
@@ -195,13 +199,13 @@
 			g.lastSent = time.Time{}
 		}
 	}
-	var sends []Send
-	for _, id := range c.sorted() {
+	var requests []Request
+	for _, id := range c.sortedWorkers() {
 		g := c.workers[id]
 		if now.Before(c.due(id, g)) {
 			continue
 		}
-		sends = append(sends, Send{Worker: id, Kind: KindRenew, Epoch: c.epoch, Length: Length})
+		requests = append(requests, Request{Worker: id, Kind: KindRenew, Epoch: c.epoch, Length: Length})
 	}
-	return sends
+	return requests
 }
