--- a/control/tenure.go
+++ b/control/tenure.go
@@ -382,7 +382,7 @@
 
 // snapshot queues a snapshot when one is due.
 func (c *Control) snapshot(now time.Time) {
-	due := c.fold.SinceSnapshot() >= c.SnapshotRecords || (!c.fold.Anchored() && !c.tenure.snapshots)
+	due := c.fold.SinceSnapshot() >= c.SnapshotRecords || (!c.fold.Complete() && !c.tenure.snapshots)
 	if c.fold.Next() > 0 && now.Sub(c.snapshotAt) >= snapshotInterval {
 		due = true
 	}
--- a/jobs/fold.go
+++ b/jobs/fold.go
@@ -11,43 +11,43 @@
 	"github.com/redwingthread/redwingthread/infra"
 )
 
-// MaxEnded is the number of ended jobs that the fold keeps. The oldest ones are dropped in the order of their ended
-// records, so that every reader drops the same. An id is recognised as a repeat only while its job is kept.
+// MaxEnded is the number of ended jobs that a fold keeps. The oldest are dropped in the order of their ended records, so
+// that every reader drops the same ones. A repeated submission is recognised only while its job is kept.
 const MaxEnded = 1024
 
-// ErrRuleSet is returned by Fold.Apply for a record of a newer rule set. The fold stays where it is.
+// ErrRuleSet is wrapped by the error of Fold.Apply for a record with a newer rule set. The fold does not advance past it.
 var ErrRuleSet = errors.New("record has a newer rule set")
 
-// Change says what a record did to the folded state.
+// Change is the effect of a record on the folded state.
 type Change string
 
-// The changes.
+// The changes that a record can cause.
 const (
 	// ChangeNone marks a record without effect, such as a repeated submission.
 	ChangeNone      Change = "none"
 	ChangeSubmitted Change = "submitted"
-	// ChangeConflict marks a submission whose id is in use for other content.
+	// ChangeConflict marks a submission whose id is in use for a job with different content.
 	ChangeConflict  Change = "conflict"
 	ChangeCancelled Change = "cancelled"
 	ChangeIntent    Change = "intent"
-	// ChangeStopped marks a checkpointed stop after which the job waits again.
+	// ChangeStopped marks a checkpointed stop, after which the job is waiting again.
 	ChangeStopped Change = "stopped"
 	ChangeEnded   Change = "ended"
-	// ChangeLoaded marks that the state was replaced by that of a snapshot.
+	// ChangeLoaded marks that a snapshot replaced the state.
 	ChangeLoaded Change = "loaded"
 )
 
-// Fold is the state of a job stream. All readers that apply the same records have the same state. It is pure and not
-// safe for concurrent use.
+// Fold is the state that results from applying the records of a job stream in order. All readers that apply the same records
+// reach the same state. It does no I/O and is not safe for concurrent use.
 type Fold struct {
 	next    uint64
 	entries map[string]*Entry
 	// endedOrder lists ended jobs in the order of their ended records.
 	endedOrder []string
-	// anchored is false while records before origin are missing and no snapshot has replaced them.
-	anchored bool
-	origin   uint64
-	// pending holds the records since origin while the fold is not anchored.
+	// complete is false while records below gapEnd are missing and no snapshot has replaced them.
+	complete bool
+	gapEnd   uint64
+	// pending holds the records from gapEnd on while the fold is not complete.
 	pending []infra.Record
 	// lastSnapshot is the offset of the newest snapshot record seen; valid if hasSnapshot.
 	lastSnapshot uint64
@@ -57,19 +57,19 @@
 
 // NewFold returns the state before offset 0.
 func NewFold() *Fold {
-	return &Fold{entries: map[string]*Entry{}, anchored: true}
+	return &Fold{entries: map[string]*Entry{}, complete: true}
 }
 
-// Next returns the offset of the next record to apply.
+// Next returns the offset of the next record to apply to the fold.
 func (f *Fold) Next() uint64 { return f.next }
 
-// Anchored reports whether the state covers all records from offset 0, directly or through a snapshot.
-func (f *Fold) Anchored() bool { return f.anchored }
+// Complete reports whether the state covers all records from offset 0, directly or through a snapshot.
+func (f *Fold) Complete() bool { return f.complete }
 
-// Stopped reports whether a record of a newer rule set stopped the fold.
+// Stopped reports whether a record with a newer rule set stopped the fold.
 func (f *Fold) Stopped() bool { return f.stopped }
 
-// SinceSnapshot returns the number of records after the newest snapshot.
+// SinceSnapshot returns the number of records applied or skipped after the newest snapshot record.
 func (f *Fold) SinceSnapshot() uint64 {
 	if !f.hasSnapshot {
 		return f.next
@@ -80,39 +80,40 @@
 // HasSnapshot reports whether the fold has seen a snapshot record.
 func (f *Fold) HasSnapshot() bool { return f.hasSnapshot }
 
-// Skip moves the fold to oldest if records below it have expired before they were read. The fold keeps what it holds
-// until a snapshot that covers the gap replaces it.
+// Skip moves the fold to the offset oldest if records below it expired before they were read. The fold keeps its state until
+// a snapshot that covers the gap replaces it.
 func (f *Fold) Skip(oldest uint64) {
 	if oldest <= f.next {
 		return
 	}
 	f.next = oldest
-	f.origin = oldest
-	f.anchored = false
+	f.gapEnd = oldest
+	f.complete = false
 	f.pending = nil
 }
 
-// Apply folds the record at offset Next. A record below Next changes nothing. The id is that of the job concerned.
+// Apply applies the record at offset Next. A record below Next changes nothing. id is the id of the job that the record names.
+// The error wraps ErrRuleSet for a record with a newer rule set and is of kind Internal for a record beyond Next.
 func (f *Fold) Apply(r infra.Record) (change Change, id string, err error) {
 	if r.Offset < f.next {
 		return ChangeNone, "", nil
 	}
 	if r.Offset > f.next {
 		return ChangeNone, "", errkind.New(errkind.Internal, "report this fault",
-			"job stream record %d applied at %d", r.Offset, f.next)
+			"job stream record at offset %d applied at offset %d", r.Offset, f.next)
 	}
 	record, err := Decode(r.Data)
 	if err == nil && record.RuleSet > RuleSet {
 		f.stopped = true
 		return ChangeNone, "", errkind.Wrap(ErrRuleSet, errkind.Unavailable, "upgrade this program",
-			"job stream record %d has rule set %d, this program knows %d", r.Offset, record.RuleSet, RuleSet)
+			"job stream record %d has rule set %d, this program supports up to %d", r.Offset, record.RuleSet, RuleSet)
 	}
 	f.next++
-	if !f.anchored {
+	if !f.complete {
 		f.pending = append(f.pending, r)
 	}
 	if err != nil {
-		// Malformed records are skipped by all readers alike.
+		// All readers skip malformed records, so their states stay equal.
 		return ChangeNone, "", nil
 	}
 	change, id = f.apply(record, r.Offset)
@@ -156,7 +157,8 @@
 	return ChangeCancelled
 }
 
-// intent lets the first intent win. A cancel before it wins over it, so that the job provably does not run.
+// intent applies an intent, of which the first one wins. A cancellation recorded before it takes precedence, so that the job
+// certainly does not run.
 func (f *Fold) intent(intent *Intent) Change {
 	e, ok := f.entries[intent.Job]
 	if !ok || e.Ended != nil || e.Cancelled || e.Intent != nil {
@@ -173,7 +175,7 @@
 		return ChangeNone
 	}
 	if !ended.State.Final() {
-		return e.stoppedAt(ended)
+		return e.applyCheckpointedStop(ended)
 	}
 	e.Ended = ended
 	e.Attempt = max(e.Attempt, ended.Attempt)
@@ -182,8 +184,9 @@
 	return ChangeEnded
 }
 
-// stoppedAt applies a checkpointed stop. A late record of an older attempt must not give a newer intent free.
-func (e *Entry) stoppedAt(ended *Ended) Change {
+// applyCheckpointedStop applies a checkpointed stop. A late record of an older attempt must not clear the intent of a newer
+// one.
+func (e *Entry) applyCheckpointedStop(ended *Ended) Change {
 	if ended.State != StateWaiting || ended.Attempt < e.Attempt {
 		return ChangeNone
 	}
@@ -204,17 +207,18 @@
 	}
 }
 
-// snapshot anchors a fold that misses older records. An anchored fold ignores it: it has the same state already.
+// snapshot loads a snapshot that covers the records missing from the fold, which makes the fold complete. A complete fold
+// ignores it, since it already has the same state.
 func (f *Fold) snapshot(s *Snapshot, offset uint64) Change {
 	f.lastSnapshot = offset
 	f.hasSnapshot = true
-	if f.anchored || s.Next < f.origin {
+	if f.complete || s.Next < f.gapEnd {
 		return ChangeNone
 	}
-	f.load(s)
+	f.loadSnapshot(s)
 	pending := f.pending
 	f.pending = nil
-	f.anchored = true
+	f.complete = true
 	for _, r := range pending {
 		if r.Offset < s.Next || r.Offset >= offset {
 			continue
@@ -226,7 +230,7 @@
 	return ChangeLoaded
 }
 
-func (f *Fold) load(s *Snapshot) {
+func (f *Fold) loadSnapshot(s *Snapshot) {
 	f.entries = make(map[string]*Entry, len(s.Entries))
 	f.endedOrder = nil
 	for i := range s.Entries {
@@ -238,7 +242,7 @@
 	}
 }
 
-// Snapshot returns the state below Next. Ended jobs come first, in the order of their ends.
+// Snapshot returns the state that covers all records below Next. Ended jobs come first, in the order of their ended records.
 func (f *Fold) Snapshot() *Snapshot {
 	s := &Snapshot{Next: f.next}
 	for _, id := range f.endedOrder {
@@ -250,13 +254,13 @@
 	return s
 }
 
-// Get returns the entry of a job. The caller must not change it.
+// Get returns the entry of a job and whether it is known. The caller must not change the entry.
 func (f *Fold) Get(id string) (*Entry, bool) {
 	e, ok := f.entries[id]
 	return e, ok
 }
 
-// Open returns the jobs without a final state in order of submission. The caller must not change the entries.
+// Open returns the entries of jobs without a final state in order of submission. The caller must not change them.
 func (f *Fold) Open() []*Entry {
 	var open []*Entry
 	for _, e := range f.entries {
@@ -268,7 +272,7 @@
 	return open
 }
 
-// All returns all jobs in order of submission. The caller must not change the entries.
+// All returns the entries of all jobs in order of submission. The caller must not change them.
 func (f *Fold) All() []*Entry {
 	all := make([]*Entry, 0, len(f.entries))
 	for _, e := range f.entries {
@@ -282,7 +286,7 @@
 	sort.Slice(entries, func(i, k int) bool { return entries[i].Offset < entries[k].Offset })
 }
 
-// ContentDigest returns a digest of the job without its submission time, which differs between retries.
+// ContentDigest returns a digest of the job. It leaves out the submission time, which differs between retries.
 func ContentDigest(job Job) uint64 {
 	job.Submitted = time.Time{}
 	data, err := encMode.Marshal(job)
--- a/jobs/fold_test.go
+++ b/jobs/fold_test.go
@@ -32,7 +32,7 @@
 
 func cancelled(id string) Record { return Record{Kind: RecordCancel, Cancel: &Cancel{Job: id}} }
 
-func raw(t interface{ Fatal(...any) }, offset uint64, r Record) infra.Record {
+func encodedRecord(t interface{ Fatal(...any) }, offset uint64, r Record) infra.Record {
 	data, err := Encode(r)
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 	return infra.Record{Offset: offset, Data: data}
 }
 
-// TestFoldRules guards against a record that takes effect although an earlier one has decided.
+// TestFoldRules guards against a record that takes effect although an earlier record takes precedence.
 func TestFoldRules(t *testing.T) {
 	other := testJob("a")
 	other.Account = "scan"
@@ -71,7 +71,7 @@
 			f := NewFold()
 			var last Change
 			for i, r := range c.records {
-				change, _, err := f.Apply(raw(t, uint64(i), r))
+				change, _, err := f.Apply(encodedRecord(t, uint64(i), r))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -85,7 +85,8 @@
 	}
 }
 
-// TestFoldStopsAtNewerRuleSet guards against two program versions that fold a record differently.
+// TestFoldStopsAtNewerRuleSet guards against an older program that applies a record of a newer rule set by its own rules and
+// so diverges from newer programs.
 func TestFoldStopsAtNewerRuleSet(t *testing.T) {
 	data, err := encMode.Marshal(Record{RuleSet: RuleSet + 1, Kind: RecordSubmit})
 	if err != nil {
@@ -98,13 +99,14 @@
 	}
 }
 
-// TestFoldFromSnapshot guards against a reader that starts after expired records and gets another state.
+// TestFoldFromSnapshot guards against a reader that starts after expired records, loads a snapshot and reaches another state
+// than a reader of all records.
 func TestFoldFromSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []infra.Record
 		all := NewFold()
 		add := func(r Record) {
-			record := raw(t, uint64(len(stream)), r)
+			record := encodedRecord(t, uint64(len(stream)), r)
 			stream = append(stream, record)
 			if _, _, err := all.Apply(record); err != nil {
 				t.Fatal(err)
@@ -129,7 +131,7 @@
 		}
 		snapshot := Record{Kind: RecordSnapshot, Snapshot: all.Snapshot()}
 		oldest := rapid.IntRange(0, len(stream)).Draw(t, "oldest")
-		// Records of others may be appended between the fold of a snapshot and its own append.
+		// Other writers may append records between the creation of a snapshot and its append.
 		for range rapid.IntRange(0, 5).Draw(t, "between") {
 			add(random())
 		}
@@ -144,7 +146,7 @@
 				t.Fatal(err)
 			}
 		}
-		if !late.Anchored() || !reflect.DeepEqual(late.Snapshot(), all.Snapshot()) {
+		if !late.Complete() || !reflect.DeepEqual(late.Snapshot(), all.Snapshot()) {
 			t.Fatalf("from %d: got %+v, want %+v", oldest, late.Snapshot(), all.Snapshot())
 		}
 	})
--- a/jobs/job.go
+++ b/jobs/job.go
@@ -9,26 +9,26 @@
 
 // Job is a gang of tasks that runs for one client account in one failure domain.
 type Job struct {
-	// ID is chosen by the submitter; a second submission with the same id is the same job.
+	// ID is chosen by the submitter. A second submission with the same id and content refers to the same job.
 	ID            string         `json:"id" cbor:"id"`
 	Account       string         `json:"account" cbor:"account"`
 	FailureDomain string         `json:"failure_domain" cbor:"failure_domain"`
 	Shape         resource.Shape `json:"shape" cbor:"shape"`
-	// Urgent jobs are planned before others and start within 1.8 s where nothing has to be reclaimed.
+	// Urgent jobs are planned before others and start within 1.8 s if no capacity has to be reclaimed for them.
 	Urgent bool `json:"urgent,omitempty" cbor:"urgent,omitempty"`
 	// RunOnce jobs are never started twice.
 	RunOnce bool `json:"run_once,omitempty" cbor:"run_once,omitempty"`
 	// CanCheckpoint jobs save their progress before a stop.
 	CanCheckpoint bool `json:"can_checkpoint,omitempty" cbor:"can_checkpoint,omitempty"`
-	// DeclaredRunSeconds is the submitter's estimate; no promise rests on it.
+	// DeclaredRunSeconds is the submitter's estimate of the run time in seconds. No guarantee depends on it.
 	DeclaredRunSeconds int64 `json:"declared_run_seconds,omitempty" cbor:"declared_run_seconds,omitempty"`
 	// Run is the command line of each task.
 	Run []string `json:"run" cbor:"run"`
-	// Submitted is the time that the submitting gateway wrote into the record.
+	// Submitted is the time of submission by the clock of the gateway that recorded the job.
 	Submitted time.Time `json:"submitted" cbor:"submitted"`
 }
 
-// Stoppable reports whether a stop of the running job loses no promise: it saves its progress or may run again.
+// Stoppable reports whether stopping the running job breaks no guarantee, because it saves its progress or may run again.
 func (j Job) Stoppable() bool { return j.CanCheckpoint || !j.RunOnce }
 
 // State is the state of a job.
@@ -43,11 +43,11 @@
 	StateCompleted State = "completed"
 	StateFailed    State = "failed"
 	StateCancelled State = "cancelled"
-	// StateUnknown marks a run-once job that may have run and is in no inventory.
+	// StateUnknown marks a run-once job that may have run but is in no worker's inventory.
 	StateUnknown State = "unknown"
 )
 
-// Final reports whether the job never changes its state again.
+// Final reports whether s is a final state, in which a job stays for good.
 func (s State) Final() bool {
 	switch s {
 	case StateCompleted, StateFailed, StateCancelled, StateUnknown:
@@ -56,13 +56,13 @@
 	return false
 }
 
-// Status is a job with its present state, as shown to operators.
+// Status is a job with its current state, as shown to operators.
 type Status struct {
 	Job     Job    `json:"job" cbor:"job"`
 	State   State  `json:"state" cbor:"state"`
 	Attempt uint64 `json:"attempt" cbor:"attempt"`
-	// Reason says why the job waits or ended; empty while it runs.
+	// Reason says why the job is waiting or has ended; empty while it runs.
 	Reason string `json:"reason,omitempty" cbor:"reason,omitempty"`
-	// Workers lists the worker of each member while the job is placed.
+	// Workers holds the worker of each member while the job is placed.
 	Workers []string `json:"workers,omitempty" cbor:"workers,omitempty"`
 }
--- a/jobs/records.go
+++ b/jobs/records.go
@@ -8,8 +8,8 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// RuleSet is the number of the fold rules that this program applies. A record with a higher number stops the fold,
-// because two programs that fold it differently would disagree for good.
+// RuleSet is the version of the fold rules that this program applies. A record with a higher version stops the fold, since
+// programs that fold it by different rules would diverge permanently.
 const RuleSet = 1
 
 // RecordKind is the kind of a record on a job stream.
@@ -24,7 +24,7 @@
 	RecordSnapshot RecordKind = "snapshot"
 )
 
-// Record is one record of a job stream. The field that matches Kind is set.
+// Record is one record of a job stream. Only the field that belongs to Kind is set.
 type Record struct {
 	RuleSet  int        `cbor:"rs"`
 	Kind     RecordKind `cbor:"kind"`
@@ -35,31 +35,31 @@
 	Snapshot *Snapshot  `cbor:"snapshot,omitempty"`
 }
 
-// Cancel asks for the end of a job.
+// Cancel requests the cancellation of a job.
 type Cancel struct {
 	Job    string    `cbor:"job"`
 	Author string    `cbor:"author,omitempty"`
 	At     time.Time `cbor:"at"`
 }
 
-// Intent announces the release of a run-once job. The first one of a job in the log wins.
+// Intent announces the release of a run-once job. The first valid intent of a job in the log wins.
 type Intent struct {
 	Job     string `cbor:"job"`
 	Attempt uint64 `cbor:"attempt"`
-	// Holder and Epoch are those of the scheduler's tenure that wrote the record.
+	// Holder and Epoch identify the tenure of the scheduler that wrote the record.
 	Holder string `cbor:"holder"`
 	Epoch  uint64 `cbor:"epoch"`
 }
 
-// Ended reports the end of an attempt. With a final state it ends the job. With StateWaiting it reports a stop after a
-// checkpoint: the job continues from Checkpoints, and a run-once job needs a new intent for it.
+// Ended records the end of an attempt. A final state ends the job. StateWaiting records a stop after a checkpoint: the job
+// continues from Checkpoints, for which a run-once job needs a new intent.
 type Ended struct {
 	Job     string    `cbor:"job"`
 	Attempt uint64    `cbor:"attempt"`
 	State   State     `cbor:"state"`
 	Detail  string    `cbor:"detail,omitempty"`
 	At      time.Time `cbor:"at"`
-	// Checkpoints holds the checkpoint of each member; empty if there is none.
+	// Checkpoints holds the checkpoint of each member; empty if the attempt was not checkpointed.
 	Checkpoints []string `cbor:"checkpoints,omitempty"`
 }
 
@@ -72,9 +72,9 @@
 // Entry is the folded state of one job.
 type Entry struct {
 	Job Job `cbor:"job"`
-	// Offset is that of the submit record.
+	// Offset is the offset of the submit record.
 	Offset uint64 `cbor:"offset"`
-	// Digest covers the content of the job without the submission time.
+	// Digest is the ContentDigest of the job.
 	Digest    uint64 `cbor:"digest"`
 	Cancelled bool   `cbor:"cancelled,omitempty"`
 	// Intent is the winning intent since the last checkpointed stop; nil if there is none.
@@ -85,11 +85,11 @@
 	Checkpoints []string `cbor:"checkpoints,omitempty"`
 	// CheckpointAttempt is the attempt that wrote Checkpoints.
 	CheckpointAttempt uint64 `cbor:"checkpoint_attempt,omitempty"`
-	// Attempt is the highest attempt named by an intent or ended record.
+	// Attempt is the highest attempt that an intent or ended record named.
 	Attempt uint64 `cbor:"attempt,omitempty"`
 }
 
-// State returns the state of the job as far as the log tells.
+// State returns the state of the job that the log shows: its final state, or StateWaiting if it has not ended.
 func (e *Entry) State() State {
 	if e.Ended != nil {
 		return e.Ended.State
@@ -97,7 +97,7 @@
 	return StateWaiting
 }
 
-// Status returns the entry as a status without placement.
+// Status returns the status that the log shows, without a placement.
 func (e *Entry) Status() Status {
 	status := Status{Job: e.Job, State: e.State(), Attempt: e.Attempt}
 	if e.Ended != nil {
@@ -118,7 +118,7 @@
 	return mode
 }
 
-// Encode returns the CBOR form of r with the current rule set.
+// Encode returns the CBOR encoding of r with the rule set of this program. The error is of kind Internal.
 func Encode(r Record) ([]byte, error) {
 	r.RuleSet = RuleSet
 	data, err := encMode.Marshal(r)
@@ -128,7 +128,7 @@
 	return data, nil
 }
 
-// Decode reads a record. The error is of kind BadInput for malformed data.
+// Decode decodes a record. The error is of kind BadInput for malformed data.
 func Decode(data []byte) (Record, error) {
 	var r Record
 	if err := cbor.Unmarshal(data, &r); err != nil {
--- a/jobs/service.go
+++ b/jobs/service.go
@@ -15,25 +15,26 @@
 const (
 	appendTimeout = 2 * time.Second
 	readTimeout   = 2 * time.Second
-	// settleTimeout bounds the search for a record whose append gave no answer.
-	settleTimeout = 3 * time.Second
-	settlePause   = 100 * time.Millisecond
-	queryTimeout  = time.Second
-	readLimit     = 500
+	// confirmTimeout bounds the wait until an appended record is read back from the log.
+	confirmTimeout = 3 * time.Second
+	// confirmInterval is the time between these reads.
+	confirmInterval = 100 * time.Millisecond
+	queryTimeout    = time.Second
+	readLimit       = 500
 )
 
-// Query asks the scheduler of a failure domain about jobs. An empty ID lists.
+// Query selects jobs of a failure domain. Empty fields match all jobs.
 type Query struct {
 	ID      string
 	Account string
 	State   string
-	// Wake tells the scheduler that a record was appended.
+	// Wake notifies the scheduler that a record was appended.
 	Wake bool
 }
 
-// Querier asks the active scheduler of a failure domain. Package jobs/jobquery implements it over inner.Caller.
+// Querier queries the schedulers of a failure domain. Package jobs/jobquery implements it over inner.Caller.
 type Querier interface {
-	// Query returns the scheduler's view. active is false for the view of a standby, which knows no placements.
+	// Query returns the statuses known to a scheduler. active is false if they come from a standby, which knows no placements.
 	Query(ctx context.Context, failureDomain string, q Query) (statuses []Status, active bool, err error)
 }
 
@@ -45,8 +46,8 @@
 	Querier Querier
 }
 
-// Service submits, cancels and shows jobs for the gateway daemon. It is safe for concurrent use. Callers are
-// authenticated by the gateway; an account argument restricts a call to the jobs of that account, "" allows all.
+// Service submits, cancels and shows jobs for the gateway daemon, which authenticates the callers. An account argument
+// restricts a method to the jobs of that account; "" allows all jobs. A Service is safe for concurrent use.
 type Service struct {
 	options ServiceOptions
 
@@ -60,7 +61,7 @@
 	name string
 	log  infra.Log
 	mu   sync.Mutex
-	// fold is guarded by mu, which is held during a read so that one reader serves all waiting calls.
+	// fold is guarded by mu. mu is held while the log is read, so that concurrent callers do not read the same records.
 	fold *Fold
 }
 
@@ -72,7 +73,8 @@
 	return &Service{options: options, streams: map[string]*stream{}}, nil
 }
 
-// Outcome returns "completed" for a nil error, "unknown" if the effect could not be determined, else "not_run".
+// Outcome returns the outcome of a request that ended with err: "completed" for nil, "unknown" if its effect could not be
+// determined, else "not_run".
 func Outcome(err error) string {
 	switch {
 	case err == nil:
@@ -94,7 +96,7 @@
 	return st
 }
 
-// catchUp folds the stream up to its end. The error is of kind Unavailable if the log cannot be read.
+// catchUp applies the records of the stream up to its end. The error is of kind Unavailable if the log cannot be read.
 func (st *stream) catchUp(ctx context.Context) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -103,7 +105,7 @@
 	for {
 		response, err := st.log.Read(ctx, st.name, st.fold.Next(), readLimit, 0)
 		if err != nil {
-			return errkind.Wrap(err, errkind.Unavailable, "retry once the log is up again", "read stream %s", st.name)
+			return errkind.Wrap(err, errkind.Unavailable, "retry once the log is available again", "read stream %s", st.name)
 		}
 		st.fold.Skip(response.Oldest)
 		for _, r := range response.Records {
@@ -137,8 +139,8 @@
 	return statuses
 }
 
-// append appends a record. It reports whether the record is certain not to be in the log after an error.
-func (st *stream) append(ctx context.Context, r Record) (refused bool, err error) {
+// append appends a record. notRecorded reports whether the record is certainly not in the log after an error.
+func (st *stream) append(ctx context.Context, r Record) (notRecorded bool, err error) {
 	data, err := Encode(r)
 	if err != nil {
 		return true, err
@@ -146,19 +148,20 @@
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	_, err = st.log.Append(ctx, st.name, [][]byte{data})
-	refused = errkind.Is(err, errkind.BadInput) || errkind.Is(err, errkind.TooLarge)
-	return refused, err
+	notRecorded = errkind.Is(err, errkind.BadInput) || errkind.Is(err, errkind.TooLarge)
+	return notRecorded, err
 }
 
-// settle reads on until found reports true. The error is of kind Unknown if it does not within settleTimeout.
-func (st *stream) settle(ctx context.Context, remedy string, cause error, found func() bool) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
+// awaitRecord reads the stream until recorded returns true. The error is of kind Unknown if that takes longer than
+// confirmTimeout; it wraps cause, the error of the append, if there was one.
+func (st *stream) awaitRecord(ctx context.Context, remedy string, cause error, recorded func() bool) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), confirmTimeout)
 	defer cancel()
 	for {
-		if st.catchUp(ctx) == nil && found() {
+		if st.catchUp(ctx) == nil && recorded() {
 			return nil
 		}
-		timer := time.NewTimer(settlePause)
+		timer := time.NewTimer(confirmInterval)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -166,14 +169,15 @@
 			if cause == nil {
 				cause = ctx.Err()
 			}
-			return errkind.Wrap(cause, errkind.Unknown, remedy, "the log did not confirm the record on stream %s", st.name)
+			return errkind.Wrap(cause, errkind.Unknown, remedy, "could not confirm that the record is on stream %s", st.name)
 		}
 	}
 }
 
-// Submit records a job and returns it as waiting. A job without a failure domain gets one. A repeat with the same id and
-// content returns the job's present state. Errors: BadInput, Infeasible, NotFound (account), Conflict (id in use for other content)
-// and Unavailable mean that nothing was recorded; Unknown names the command that settles it.
+// Submit records a job and returns its status. It chooses a failure domain for a job that names none. A repeated submission
+// with the same id and content returns the current status of the job. Errors of the kinds BadInput, TooLarge, Infeasible,
+// NotFound (account or failure domain), Conflict (id in use for other content) and Unavailable mean that nothing was
+// recorded. An error of kind Unknown names the command that shows whether the job was recorded.
 func (s *Service) Submit(ctx context.Context, job Job) (Status, error) {
 	doc := s.options.Config()
 	if doc == nil {
@@ -182,14 +186,14 @@
 	if err := validate(job, doc); err != nil {
 		return Status{}, err
 	}
-	// An id names one job in all failure domains, since Get and Cancel name no failure domain.
+	// An id must be unique across all failure domains, since Get and Cancel take no failure domain.
 	known, found, err := s.find(ctx, job.ID, doc)
 	switch {
 	case found && (job.FailureDomain == "" || job.FailureDomain == known.Job.FailureDomain):
 		job.FailureDomain = known.Job.FailureDomain
-		return s.same(ctx, job, known)
+		return s.existingStatus(ctx, job, known)
 	case found:
-		return Status{}, inUse(job.ID)
+		return Status{}, idInUse(job.ID)
 	case err != nil:
 		return Status{}, err
 	case job.FailureDomain == "":
@@ -197,93 +201,95 @@
 			return Status{}, err
 		}
 	}
-	if err := feasible(job, job.FailureDomain, doc); err != nil {
+	if err := checkFeasible(job, job.FailureDomain, doc); err != nil {
 		return Status{}, err
 	}
-	return s.record(ctx, job)
+	return s.recordSubmission(ctx, job)
 }
 
-func (s *Service) record(ctx context.Context, job Job) (Status, error) {
+func (s *Service) recordSubmission(ctx context.Context, job Job) (Status, error) {
 	st := s.stream(job.FailureDomain)
 	if job.Submitted.IsZero() {
 		job.Submitted = time.Now().UTC()
 	}
-	refused, err := st.append(ctx, Record{Kind: RecordSubmit, Submit: &job})
-	if refused {
+	notRecorded, err := st.append(ctx, Record{Kind: RecordSubmit, Submit: &job})
+	if notRecorded {
 		return Status{}, err
 	}
-	remedy := "settle it with: redwingctl job show " + job.ID + ", or submit the same job again"
+	remedy := "check the outcome with: redwingctl job show " + job.ID + ", or submit the same job again"
 	found := func() bool {
 		_, ok := st.get(job.ID)
 		return ok
 	}
-	if err := st.settle(ctx, remedy, err, found); err != nil {
+	if err := st.awaitRecord(ctx, remedy, err, found); err != nil {
 		return Status{}, err
 	}
 	s.wake(ctx, job.FailureDomain)
 	known, _ := st.get(job.ID)
-	return s.same(ctx, job, known)
+	return s.existingStatus(ctx, job, known)
 }
 
-// same returns the state of a job that is already recorded, or a Conflict if its content differs.
-func (s *Service) same(ctx context.Context, job Job, known Entry) (Status, error) {
+// existingStatus returns the status of a job that is already recorded. The error is of kind Conflict if its content differs
+// from that of job.
+func (s *Service) existingStatus(ctx context.Context, job Job, known Entry) (Status, error) {
 	if known.Digest != ContentDigest(job) {
-		return Status{}, inUse(job.ID)
+		return Status{}, idInUse(job.ID)
 	}
-	return s.present(ctx, known), nil
+	return s.currentStatus(ctx, known), nil
 }
 
-func inUse(id string) error {
+func idInUse(id string) error {
 	return errkind.New(errkind.Conflict, "choose another id", "job id %s is in use for another job", id)
 }
 
-// Cancel records the cancellation of a job and returns its state. A job that has ended stays as it is.
+// Cancel records the cancellation of a job and returns its status. A job that has ended does not change. The error is of kind
+// NotFound if the account has no such job, and of kind Unknown if the cancellation may or may not be recorded.
 func (s *Service) Cancel(ctx context.Context, id, account, author string) (Status, error) {
 	known, st, err := s.lookup(ctx, id, account)
 	if err != nil {
 		return Status{}, err
 	}
 	if known.Ended != nil || known.Cancelled {
-		return s.present(ctx, known), nil
+		return s.currentStatus(ctx, known), nil
 	}
-	cancelled := Cancel{Job: id, Author: author, At: time.Now().UTC()}
-	refused, err := st.append(ctx, Record{Kind: RecordCancel, Cancel: &cancelled})
-	if refused {
+	cancel := Cancel{Job: id, Author: author, At: time.Now().UTC()}
+	notRecorded, err := st.append(ctx, Record{Kind: RecordCancel, Cancel: &cancel})
+	if notRecorded {
 		return Status{}, err
 	}
 	found := func() bool {
 		e, ok := st.get(id)
 		return !ok || e.Cancelled || e.Ended != nil
 	}
-	remedy := "settle it with: redwingctl job cancel " + id + " again, which is harmless if it was recorded"
-	if err := st.settle(ctx, remedy, err, found); err != nil {
+	remedy := "repeat: redwingctl job cancel " + id + ", which has no further effect if the cancellation was recorded"
+	if err := st.awaitRecord(ctx, remedy, err, found); err != nil {
 		return Status{}, err
 	}
 	s.wake(ctx, known.Job.FailureDomain)
-	if now, ok := st.get(id); ok {
-		known = now
+	if latest, ok := st.get(id); ok {
+		known = latest
 	}
-	return s.present(ctx, known), nil
+	return s.currentStatus(ctx, known), nil
 }
 
-// Get returns the state of a job. The error is of kind NotFound if there is none of that account.
+// Get returns the status of a job. The error is of kind NotFound if the account has no such job.
 func (s *Service) Get(ctx context.Context, id, account string) (Status, error) {
 	known, _, err := s.lookup(ctx, id, account)
 	if err != nil {
 		return Status{}, err
 	}
-	return s.present(ctx, known), nil
+	return s.currentStatus(ctx, known), nil
 }
 
-// Filter selects jobs; empty fields select all.
+// Filter selects jobs. Empty fields match all jobs.
 type Filter struct {
 	Account       string
 	State         State
 	FailureDomain string
 }
 
-// List returns the matching jobs by failure domain and in order of submission. While the log or a scheduler does not
-// answer, it returns what is known.
+// List returns the matching jobs, sorted by failure domain and then by order of submission. It returns the last known state
+// while the log or a scheduler does not respond. The error is of kind Unavailable while there is no configuration.
 func (s *Service) List(ctx context.Context, filter Filter) ([]Status, error) {
 	doc := s.options.Config()
 	if doc == nil {
@@ -306,7 +312,7 @@
 
 func (s *Service) listDomain(ctx context.Context, fd, account string) []Status {
 	st := s.stream(fd)
-	// An outage of the log must not hide the jobs that are known; the states then come from the scheduler.
+	// The error is ignored: an outage of the log must not hide known jobs, whose states then come from the scheduler.
 	_ = st.catchUp(ctx)
 	folded := st.statuses()
 	queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
@@ -327,7 +333,7 @@
 	return folded
 }
 
-// lookup finds a job in all failure domains.
+// lookup searches all failure domains for a job of the account.
 func (s *Service) lookup(ctx context.Context, id, account string) (Entry, *stream, error) {
 	doc := s.options.Config()
 	if doc == nil {
@@ -340,10 +346,11 @@
 	if !found && err != nil {
 		return Entry{}, nil, err
 	}
-	return Entry{}, nil, errkind.New(errkind.NotFound, "list the jobs with: redwingctl job list", "there is no job %s", id)
+	return Entry{}, nil, errkind.New(errkind.NotFound, "list the jobs with: redwingctl job list", "job %s does not exist", id)
 }
 
-// find reads the streams of all failure domains up to their ends. An error is reported only if the job was not found.
+// find searches the streams of all failure domains for a job, reading each up to its end unless the job is known to have
+// ended. The error is that of the last failed read; it matters only if the job was not found.
 func (s *Service) find(ctx context.Context, id string, doc *config.Document) (known Entry, found bool, err error) {
 	for _, fd := range failureDomains(doc) {
 		st := s.stream(fd)
@@ -360,8 +367,9 @@
 	return Entry{}, false, err
 }
 
-// present adds the scheduler's view to a folded entry.
-func (s *Service) present(ctx context.Context, e Entry) Status {
+// currentStatus returns the status of a job from its scheduler, or from the log if the job has ended or no active scheduler
+// responds.
+func (s *Service) currentStatus(ctx context.Context, e Entry) Status {
 	if e.Ended != nil {
 		return e.Status()
 	}
@@ -372,11 +380,12 @@
 		return live[0]
 	}
 	status := e.Status()
-	status.Reason = "no active scheduler of its failure domain answers"
+	status.Reason = "no active scheduler of its failure domain responds"
 	return status
 }
 
-// wake tells the scheduler that there is a record. A failure only delays it until its own read of the log.
+// wake notifies the schedulers that a record was appended. If that fails, they find the record with their next read of the
+// log.
 func (s *Service) wake(ctx context.Context, failureDomain string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), queryTimeout)
 	go func() {
@@ -395,6 +404,6 @@
 }
 
 func noConfig() error {
-	return errkind.New(errkind.Unavailable, "initialise the configuration or wait until it is read",
-		"there is no configuration")
+	return errkind.New(errkind.Unavailable, "initialise the configuration or wait until it is loaded",
+		"no configuration is loaded")
 }
--- a/jobs/service_test.go
+++ b/jobs/service_test.go
@@ -18,14 +18,14 @@
 	mu      sync.Mutex
 	streams map[string][]infra.Record
 	down    bool
-	// loseAnswer fails appends after, loseRecord before they take effect.
-	loseAnswer, loseRecord bool
+	// loseResponse makes appends fail after they took effect, loseRecord before.
+	loseResponse, loseRecord bool
 }
 
 func (l *memoryLog) Append(_ context.Context, stream string, records [][]byte) (uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	lost := errkind.New(errkind.Unavailable, "retry", "no answer")
+	lost := errkind.New(errkind.Unavailable, "retry", "no response")
 	if l.loseRecord {
 		return 0, lost
 	}
@@ -33,7 +33,7 @@
 	for i, data := range records {
 		l.streams[stream] = append(l.streams[stream], infra.Record{Offset: first + uint64(i), Data: data})
 	}
-	if l.loseAnswer {
+	if l.loseResponse {
 		return 0, lost
 	}
 	return first, nil
@@ -80,7 +80,8 @@
 	return s
 }
 
-// TestSubmitOutcomes guards against a "not_run" for a job that may be in the log, and an "unknown" where it is certain.
+// TestSubmitOutcomes guards against the outcome "not_run" for a job that may be in the log, and against "unknown" for a job
+// whose outcome is certain.
 func TestSubmitOutcomes(t *testing.T) {
 	large := testJob("a")
 	large.Shape = resource.Shape{Members: 3, PerMember: resource.Resources{Accelerators: 8}, Adjacency: resource.AdjacencyRack}
@@ -92,7 +93,7 @@
 	}{
 		"accepted":      {&memoryLog{}, testJob("a"), "", "completed"},
 		"log down":      {&memoryLog{down: true}, testJob("a"), errkind.Unavailable, "not_run"},
-		"answer lost":   {&memoryLog{loseAnswer: true}, testJob("a"), "", "completed"},
+		"answer lost":   {&memoryLog{loseResponse: true}, testJob("a"), "", "completed"},
 		"not confirmed": {&memoryLog{loseRecord: true}, testJob("a"), errkind.Unknown, "unknown"},
 		"infeasible":    {&memoryLog{}, large, errkind.Infeasible, "not_run"},
 		"malformed id":  {&memoryLog{}, testJob("a/b"), errkind.BadInput, "not_run"},
@@ -113,9 +114,9 @@
 	}
 }
 
-// TestServiceRepeatsAndAccounts guards against a repeat that makes a second job, an id that changes its content, and an
-// account that reaches another one's job.
-func TestServiceRepeatsAndAccounts(t *testing.T) {
+// TestRepeatedSubmitAndAccountIsolation guards against a repeated submission that creates a second job, a submission that
+// changes the content of an id, and an account with access to a job of another account.
+func TestRepeatedSubmitAndAccountIsolation(t *testing.T) {
 	log := &memoryLog{streams: map[string][]infra.Record{}}
 	s := newTestService(t, log)
 	job := testJob("a")
--- a/jobs/choose.go
+++ b/jobs/validate.go
@@ -8,28 +8,28 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// Limits of a job record.
+// Limits of the command line of a job.
 const (
 	maxRunArguments = 256
 	maxRunBytes     = 16 << 10
 )
 
-// idPattern allows what fits into a URL path segment and a log line.
+// idPattern matches ids that need no escaping in a URL path segment or a log line.
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// validate returns a typed error that names the first fault of a submitted job.
+// validate returns a typed error for the first problem found in a submitted job.
 func validate(job Job, doc *config.Document) error {
 	if !idPattern.MatchString(job.ID) {
 		return errkind.New(errkind.BadInput, "use 1 to 64 letters, digits, dots, dashes and underscores, the first a letter or digit",
 			"job id %q is malformed", job.ID)
 	}
 	if _, ok := doc.Accounts[job.Account]; !ok {
-		return errkind.New(errkind.NotFound, "name an account of the configuration", "there is no account %q", job.Account)
+		return errkind.New(errkind.NotFound, "name an account of the configuration", "account %q does not exist", job.Account)
 	}
 	if job.FailureDomain != "" {
 		if _, ok := doc.FailureDomains[job.FailureDomain]; !ok {
 			return errkind.New(errkind.NotFound, "name a failure domain of the configuration, or none",
-				"there is no failure domain %q", job.FailureDomain)
+				"failure domain %q does not exist", job.FailureDomain)
 		}
 	}
 	if err := job.Shape.Validate(); err != nil {
@@ -44,31 +44,31 @@
 		size += len(argument)
 	}
 	if len(job.Run) == 0 || job.Run[0] == "" {
-		return errkind.New(errkind.BadInput, "give the command line in run", "job %s has no command", job.ID)
+		return errkind.New(errkind.BadInput, "set run to the command line", "job %s has no command", job.ID)
 	}
 	if len(job.Run) > maxRunArguments || size > maxRunBytes {
 		return errkind.New(errkind.TooLarge, "put the arguments into a file that the command reads",
-			"job %s has a command of %d arguments and %d bytes", job.ID, len(job.Run), size)
+			"command line of job %s is too large: %d arguments, %d bytes", job.ID, len(job.Run), size)
 	}
 	if job.DeclaredRunSeconds < 0 {
-		return errkind.New(errkind.BadInput, "give 0 or more seconds", "job %s declares a negative run time", job.ID)
+		return errkind.New(errkind.BadInput, "declare 0 or more seconds", "job %s declares a negative run time", job.ID)
 	}
 	return nil
 }
 
-// ChooseFailureDomain picks a failure domain for a job that names none: one in which the account has a guarantee whose
-// shape holds the job, then one in which it has any guarantee, then the one with the most capacity. Ties go to the
-// first name. The error is of kind Infeasible if no failure domain can hold the job.
+// ChooseFailureDomain picks a failure domain for a job that names none. It prefers one in which the account has a guarantee
+// whose shape holds the job, then one in which the account has any guarantee, and among these the one with the most
+// capacity. Ties go to the first name in sorted order. The error is of kind Infeasible if no failure domain can hold the job.
 func ChooseFailureDomain(job Job, doc *config.Document) (string, error) {
 	best, bestRank := "", -1
 	var bestCapacity resource.Resources
 	for _, fd := range failureDomains(doc) {
-		if feasible(job, fd, doc) != nil {
+		if checkFeasible(job, fd, doc) != nil {
 			continue
 		}
 		rank := guaranteeRank(job, fd, doc)
-		capacity := capacityOf(fd, doc)
-		if rank > bestRank || rank == bestRank && larger(capacity, bestCapacity) {
+		capacity := totalCapacity(fd, doc)
+		if rank > bestRank || rank == bestRank && hasMoreCapacity(capacity, bestCapacity) {
 			best, bestRank, bestCapacity = fd, rank, capacity
 		}
 	}
@@ -79,7 +79,8 @@
 	return best, nil
 }
 
-// guaranteeRank returns 2 for a guarantee that holds the job, 1 for any guarantee, 0 for none.
+// guaranteeRank returns 2 if the account has a guarantee in the failure domain that holds the job, 1 if it has any other
+// guarantee there, else 0.
 func guaranteeRank(job Job, fd string, doc *config.Document) int {
 	rank := 0
 	for _, g := range doc.Accounts[job.Account].Guarantees {
@@ -94,7 +95,7 @@
 	return rank
 }
 
-func capacityOf(fd string, doc *config.Document) resource.Resources {
+func totalCapacity(fd string, doc *config.Document) resource.Resources {
 	var total resource.Resources
 	for _, w := range doc.Workers {
 		if w.FailureDomain == fd {
@@ -104,34 +105,36 @@
 	return total
 }
 
-func larger(a, b resource.Resources) bool {
+func hasMoreCapacity(a, b resource.Resources) bool {
 	if a.Accelerators != b.Accelerators {
 		return a.Accelerators > b.Accelerators
 	}
 	return a.MilliCPU > b.MilliCPU
 }
 
-// feasible returns an Infeasible error if the empty workers of the failure domain could not hold the job.
-func feasible(job Job, fd string, doc *config.Document) error {
-	byPlace := map[string]int{}
-	most := 0
+// checkFeasible returns an error of kind Infeasible if the workers of the failure domain could not hold the job even if they
+// were empty.
+func checkFeasible(job Job, fd string, doc *config.Document) error {
+	membersByGroup := map[string]int{}
+	maxMembers := 0
 	for id, w := range doc.Workers {
 		if w.FailureDomain != fd {
 			continue
 		}
-		place := placeOf(job.Shape.Adjacency, id, w.Rack)
-		byPlace[place] += membersOn(job.Shape.PerMember, w.Capacity)
-		most = max(most, byPlace[place])
+		group := adjacencyGroup(job.Shape.Adjacency, id, w.Rack)
+		membersByGroup[group] += workerMembers(job.Shape.PerMember, w.Capacity)
+		maxMembers = max(maxMembers, membersByGroup[group])
 	}
-	if most >= job.Shape.Members {
+	if maxMembers >= job.Shape.Members {
 		return nil
 	}
 	return errkind.New(errkind.Infeasible, "ask for fewer members, fewer resources or looser adjacency",
-		"failure domain %s can hold %d of %d members of job %s", fd, most, job.Shape.Members, job.ID)
+		"failure domain %s can hold %d of %d members of job %s", fd, maxMembers, job.Shape.Members, job.ID)
 }
 
-// placeOf returns the place within which all members must be.
-func placeOf(adjacency resource.Adjacency, worker, rack string) string {
+// adjacencyGroup returns the name of the group of workers to which the adjacency confines all members of a gang on this
+// worker.
+func adjacencyGroup(adjacency resource.Adjacency, worker, rack string) string {
 	switch adjacency {
 	case resource.AdjacencyWorker:
 		return worker
@@ -141,8 +144,8 @@
 	return ""
 }
 
-// membersOn returns how many members an empty worker holds, at most resource.MaxMembers.
-func membersOn(perMember, capacity resource.Resources) int {
+// workerMembers returns the number of members that an empty worker holds, at most resource.MaxMembers.
+func workerMembers(perMember, capacity resource.Resources) int {
 	n := 0
 	for n < resource.MaxMembers && perMember.Times(n+1).Fits(capacity) {
 		n++
