--- a/jobs/jobquery/jobquery.go
+++ b/jobs/jobquery/jobquery.go
@@ -1,6 +1,6 @@
-// Package jobquery asks the schedulers of a failure domain about jobs over the inner protocol.
+// Package jobquery queries the schedulers of a failure domain about jobs over the inner protocol.
 //
-// It is apart from package jobs because package inner depends on that one.
+// It is separate from package jobs because package inner imports that package.
 package jobquery
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// perScheduler bounds the call to one scheduler, so that a dead one leaves time for the others.
-const perScheduler = 400 * time.Millisecond
+// schedulerTimeout bounds the request to one scheduler, so that time for the others is left if it does not respond.
+const schedulerTimeout = 400 * time.Millisecond
 
-// Querier is a jobs.Querier over inner.Caller.
+// Querier implements jobs.Querier over inner.Caller.
 type Querier struct {
 	caller    inner.Caller
 	addresses func(failureDomain string) []string
@@ -23,14 +23,14 @@
 
 var _ jobs.Querier = (*Querier)(nil)
 
-// New returns a querier. addresses returns the inner protocol addresses of a failure domain's schedulers, the one that
-// is believed to be active first.
+// New returns a Querier. addresses returns the inner protocol addresses of the schedulers of a failure domain, starting with
+// the one that is believed to be active.
 func New(caller inner.Caller, addresses func(failureDomain string) []string) *Querier {
 	return &Querier{caller: caller, addresses: addresses}
 }
 
-// Query asks the schedulers in turn until the active one answers, else returns the answer of a standby. A wake goes to
-// all of them. The error is of kind Unavailable if none answers.
+// Query asks the schedulers one after the other until the active one responds, and otherwise returns the response of a
+// standby. A query with Wake goes to all schedulers. The error is of kind Unavailable if none responds.
 func (q *Querier) Query(ctx context.Context, failureDomain string, query jobs.Query) ([]jobs.Status, bool, error) {
 	request := &inner.Request{JobQuery: &inner.JobQuery{ID: query.ID, Account: query.Account, State: query.State,
 		Wake: query.Wake}}
@@ -38,15 +38,15 @@
 	err := errkind.New(errkind.Unavailable, "check the scheduler daemons of the failure domain",
 		"no scheduler of failure domain %s is known", failureDomain)
 	for _, address := range q.addresses(failureDomain) {
-		answer, callErr := q.call(ctx, address, request)
+		response, callErr := q.queryScheduler(ctx, address, request)
 		switch {
 		case callErr != nil:
 			err = errkind.Wrap(callErr, errkind.Unavailable, "check the scheduler daemons of the failure domain",
-				"scheduler %s of failure domain %s did not answer", address, failureDomain)
-		case answer.Active && !query.Wake:
-			return answer.Jobs, true, nil
+				"scheduler %s of failure domain %s did not respond", address, failureDomain)
+		case response.Active && !query.Wake:
+			return response.Jobs, true, nil
 		default:
-			standby = answer
+			standby = response
 		}
 	}
 	if standby != nil {
@@ -55,8 +55,8 @@
 	return nil, false, err
 }
 
-func (q *Querier) call(ctx context.Context, address string, request *inner.Request) (*inner.JobQueryResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, perScheduler)
+func (q *Querier) queryScheduler(ctx context.Context, address string, request *inner.Request) (*inner.JobQueryResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, schedulerTimeout)
 	defer cancel()
 	response, err := q.caller.Call(ctx, address, request)
 	if err != nil {
@@ -66,7 +66,7 @@
 		return nil, response.Error
 	}
 	if response.JobQuery == nil {
-		return nil, errkind.New(errkind.Internal, "check the version of the scheduler", "answer without a job query")
+		return nil, errkind.New(errkind.Internal, "check the version of the scheduler", "response of the scheduler contains no job query result")
 	}
 	return response.JobQuery, nil
 }
--- a/jobs/jobquery/jobquery_test.go
+++ b/jobs/jobquery/jobquery_test.go
@@ -10,7 +10,8 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// schedulers maps an address to whether that scheduler is active; a missing one does not answer.
+// schedulers simulates schedulers. active says by address whether a scheduler is active; one without an entry does not
+// respond.
 type schedulers struct {
 	active map[string]bool
 	woken  int
@@ -19,7 +20,7 @@
 func (s *schedulers) Call(_ context.Context, address string, req *inner.Request) (*inner.Response, error) {
 	active, ok := s.active[address]
 	if !ok {
-		return nil, errors.New("no answer")
+		return nil, errors.New("no response")
 	}
 	if req.JobQuery.Wake {
 		s.woken++
@@ -27,8 +28,8 @@
 	return &inner.Response{JobQuery: &inner.JobQueryResponse{Active: active, Jobs: []jobs.Status{{Reason: address}}}}, nil
 }
 
-// TestQueryPrefersActive guards against a standby's stale answer while the active scheduler answers, and against a wake
-// that reaches only one of them.
+// TestQueryPrefersActive guards against a stale response of a standby while the active scheduler responds, and against a
+// wake that reaches only one of the schedulers.
 func TestQueryPrefersActive(t *testing.T) {
 	cases := map[string]struct {
 		active map[string]bool
