--- a/control/adopt.go
+++ b/control/adopt.go
@@ -12,11 +12,11 @@
 	"github.com/redwingthread/redwingthread/scheduler"
 )
 
-// readWorker compares a new inventory with the gangs.
-func (c *Control) readWorker(w *worker, restarted bool, now time.Time) {
+// reconcileInventory applies a new inventory of a worker to the gangs and to the tasks without a gang.
+func (c *Control) reconcileInventory(w *worker, restarted bool, now time.Time) {
 	t := c.tenure
-	w.read = true
-	w.wanted = true
+	w.inventoryRead = true
+	w.requestDue = true
 	if !t.adopted {
 		return
 	}
@@ -26,12 +26,12 @@
 			c.adoptJob(task.Attempt.Job, now)
 		}
 	}
-	c.observe(w, restarted)
-	c.sortStrays(w)
+	c.observeTasks(w, restarted)
+	c.classifyOrphans(w)
 }
 
-// observe reports the tasks of a worker to their gangs.
-func (c *Control) observe(w *worker, restarted bool) {
+// observeTasks reports to the gangs on a worker which of their members its inventory shows and which it lacks.
+func (c *Control) observeTasks(w *worker, restarted bool) {
 	t := c.tenure
 	seen := map[string]map[int]bool{}
 	for _, task := range w.tasks {
@@ -57,33 +57,34 @@
 	}
 }
 
-// sortStrays decides what happens to tasks without a gang: those of a job that is not known yet are kept alive, all
-// others are stopped and forgotten.
-func (c *Control) sortStrays(w *worker) {
+// classifyOrphans decides what happens to the tasks of a worker that belong to no current attempt. Tasks of a job that is not
+// known yet are kept alive until the job stream has been read to its end; all others are stopped and then forgotten.
+func (c *Control) classifyOrphans(w *worker) {
 	t := c.tenure
-	w.strays = nil
-	w.kept = nil
+	w.orphanCommands = nil
+	w.unknownAttempts = nil
 	for _, task := range w.tasks {
 		id := task.Attempt.Job
 		if g := t.gangs[id]; g != nil && g.ID() == task.Attempt {
 			continue
 		}
 		_, known := c.fold.Get(id)
-		if !known && !c.readTail {
-			w.kept = append(w.kept, task.Attempt)
-			w.wanted = true
+		if !known && !c.caughtUp {
+			w.unknownAttempts = append(w.unknownAttempts, task.Attempt)
+			w.requestDue = true
 			continue
 		}
 		op := infra.OpStop
 		if task.State.Ended() {
 			op = infra.OpForget
 		}
-		w.strays = append(w.strays, infra.Command{Op: op, Attempt: task.Attempt, Member: task.Member})
+		w.orphanCommands = append(w.orphanCommands, infra.Command{Op: op, Attempt: task.Attempt, Member: task.Member})
 	}
-	w.wanted = w.wanted || len(w.strays) > 0
+	w.requestDue = w.requestDue || len(w.orphanCommands) > 0
 }
 
-// adoptAll takes over what runs, once the workers that answer have been read.
+// adoptAll adopts the running attempts and starts planning. It is called once the inventories of all workers that respond
+// have been read.
 func (c *Control) adoptAll(now time.Time) {
 	t := c.tenure
 	t.adopted = true
@@ -97,9 +98,9 @@
 		}
 	}
 	for _, w := range c.workers {
-		if w.read {
-			c.observe(w, false)
-			c.sortStrays(w)
+		if w.inventoryRead {
+			c.observeTasks(w, false)
+			c.classifyOrphans(w)
 		}
 	}
 	c.resolveUnread(now)
@@ -107,82 +108,84 @@
 		Msg("inventories read")
 }
 
-// unread returns the number of configured workers that were not read in this tenure.
-func (c *Control) unread() int {
+// unreadWorkers returns the number of configured workers whose inventory has not been read in this tenure.
+func (c *Control) unreadWorkers() int {
 	count := 0
 	for id, w := range c.workers {
-		if !w.read && c.configured(id) {
+		if !w.inventoryRead && c.configured(id) {
 			count++
 		}
 	}
 	return count
 }
 
-// admit hands a waiting job to the planner, unless it may still run on a worker that was not read.
+// admit submits a waiting job to the planner. It blocks the job instead if the job may still run on a worker whose inventory
+// has not been read.
 func (c *Control) admit(e *jobs.Entry, now time.Time) {
 	t := c.tenure
 	id := e.Job.ID
-	if t.gangs[id] != nil || t.closing[id] || e.Ended != nil {
+	if t.gangs[id] != nil || t.endPending[id] || e.Ended != nil {
 		return
 	}
-	if !c.withoutLapseWait && c.unread() > 0 && now.Before(t.lapseAt) {
+	if !c.withoutExpiryWait && c.unreadWorkers() > 0 && now.Before(t.unreadLeasesExpireAt) {
 		t.blocked[id] = true
-		t.resolved = false
+		t.unreadResolved = false
 		return
 	}
 	delete(t.blocked, id)
 	c.submit(e, now)
 }
 
-// submit hands a job that runs nowhere to the planner. A run-once job with an intent may have run and is unknown.
+// submit submits a job that runs nowhere to the planner. A run-once job with an intent may have run and ends as unknown,
+// unless this tenure wrote the intent and has sent no release since.
 func (c *Control) submit(e *jobs.Entry, now time.Time) {
 	t := c.tenure
 	if e.Cancelled {
-		c.end(e.Job, e.Attempt, jobs.StateCancelled, "cancelled")
+		c.endJob(e.Job, e.Attempt, jobs.StateCancelled, "cancelled")
 		return
 	}
 	if e.Job.RunOnce && e.Intent != nil && !c.withoutIntentCheck && !c.ownIntent(e) {
-		c.end(e.Job, e.Intent.Attempt, jobs.StateUnknown, "it may have run: its start was recorded and no worker has it")
+		c.endJob(e.Job, e.Intent.Attempt, jobs.StateUnknown, "may have run: its intent was recorded, but no worker has its tasks")
 		return
 	}
 	if err := t.planner.Submit(e.Job, now); err != nil {
-		c.end(e.Job, 0, jobs.StateFailed, err.Error())
+		c.endJob(e.Job, 0, jobs.StateFailed, err.Error())
 	}
 	t.planDue = true
 }
 
-// ownIntent reports whether the winning intent is of this tenure and no release has been sent since.
+// ownIntent reports whether this tenure wrote the winning intent and has sent no release since.
 func (c *Control) ownIntent(e *jobs.Entry) bool {
 	return e.Intent.Holder == c.Holder && e.Intent.Epoch == c.tenure.epoch && !c.tenure.released[e.Job.ID]
 }
 
-// adoptJob takes over the newest attempt of a job that any worker shows. It reports whether there is one.
+// adoptJob adopts the newest attempt of a job that the inventories show. It reports whether it adopted one.
 func (c *Control) adoptJob(id string, now time.Time) bool {
 	t := c.tenure
 	e, ok := c.fold.Get(id)
-	if !ok || e.Ended != nil || t.gangs[id] != nil || t.closing[id] {
+	if !ok || e.Ended != nil || t.gangs[id] != nil || t.endPending[id] {
 		return false
 	}
 	attempt, found := c.newestAttempt(id)
 	if !found {
 		return false
 	}
-	var from []string
+	var resumeFrom []string
 	if attempt > e.CheckpointAttempt {
-		from = e.Checkpoints
+		resumeFrom = e.Checkpoints
 	}
-	g := gang.Adopt(e.Job, attempt, from, e.Intent != nil && e.Intent.Attempt == attempt)
+	g := gang.Adopt(e.Job, attempt, resumeFrom, e.Intent != nil && e.Intent.Attempt == attempt)
 	t.gangs[id] = g
 	t.unsettled[id] = g
-	t.resolved = false
+	t.unreadResolved = false
 	t.plannerAttempt[id] = attempt
 	for _, w := range c.workers {
 		for _, task := range w.tasks {
-			if w.read && task.Attempt == g.ID() {
+			if w.inventoryRead && task.Attempt == g.ID() {
 				g.Observe(task.Member, w.id, task)
-				// The previous holder's last renewal may be long ago.
-				w.renewedAt = time.Time{}
-				w.wanted = true
+				// The task leases are due for renewal, since the last one by the previous holder may be long ago.
+				w.lastRenewedAt = time.Time{}
+				w.requestDue = true
 			}
 		}
 	}
@@ -191,14 +194,15 @@
 	placement := c.plannerPlacement(g)
 	t.planner.Adopt(e.Job, attempt, placement, jobs.StateRunning, now)
 	if g.Unseen() {
-		t.guessed[id] = placement
+		t.provisional[id] = placement
 	}
 	c.log.Info().Str("job", id).Str("account", e.Job.Account).Uint64("attempt", attempt).Msg("attempt adopted")
 	return true
 }
 
-// plannerPlacement fills in members that were not found, preferably with workers that were not read: one of those must
-// have them. It overcommits no worker if it can, since the planner stops work on a worker that is overcommitted.
+// plannerPlacement returns the placement of a gang with assumed workers for members that were not found. It prefers workers
+// whose inventory has not been read, since one of those must have the member. It avoids overcommitting a worker where
+// possible, since the planner stops work on an overcommitted worker.
 func (c *Control) plannerPlacement(g *gang.Gang) scheduler.Placement {
 	placement := g.Placement()
 	if !slices.Contains(placement, "") {
@@ -226,12 +230,12 @@
 	return placement
 }
 
-// plannedUse returns what the planner believes to be used on each worker by other gangs than except.
+// plannedUse returns the resources that the planner counts as used on each worker by all gangs but except.
 func (c *Control) plannedUse(except *gang.Gang) map[string]resource.Resources {
 	used := map[string]resource.Resources{}
 	for id, g := range c.tenure.gangs {
-		placement, guessed := c.tenure.guessed[id]
-		if !guessed {
+		placement, provisional := c.tenure.provisional[id]
+		if !provisional {
 			placement = g.Placement()
 		}
 		for _, worker := range placement {
@@ -243,7 +247,7 @@
 	return used
 }
 
-// unreadFirst returns the configured workers, those that were not read first.
+// unreadFirst returns the ids of the configured workers in order, those whose inventory has not been read first.
 func (c *Control) unreadFirst() []string {
 	var ids []string
 	for id := range c.workers {
@@ -252,8 +256,8 @@
 		}
 	}
 	slices.SortFunc(ids, func(a, b string) int {
-		if c.workers[a].read != c.workers[b].read {
-			if c.workers[b].read {
+		if c.workers[a].inventoryRead != c.workers[b].inventoryRead {
+			if c.workers[b].inventoryRead {
 				return -1
 			}
 			return 1
@@ -263,20 +267,20 @@
 	return ids
 }
 
-// correctPlacement tells the planner where the members of an adopted gang really are, once all were found.
+// correctPlacement replaces the provisional placement of an adopted gang in the planner once all members were found.
 func (c *Control) correctPlacement(g *gang.Gang, now time.Time) {
 	t := c.tenure
 	id := g.Job().ID
-	guess, ok := t.guessed[id]
+	assumed, ok := t.provisional[id]
 	if !ok || g.Unseen() {
 		return
 	}
-	delete(t.guessed, id)
+	delete(t.provisional, id)
 	found := c.plannerPlacement(g)
-	if slices.Equal(guess, found) || g.Phase() == gang.PhaseEnded {
+	if slices.Equal(assumed, found) || g.Phase() == gang.PhaseEnded {
 		return
 	}
-	// A checkpointed stop lets the planner keep the job as waiting, from where it is adopted again.
+	// After a checkpointed stop the planner keeps the job as waiting, so that it can be adopted again.
 	t.planner.Ended(id, t.plannerAttempt[id], scheduler.Result{Kind: scheduler.ResultStopped, Checkpointed: true}, now)
 	t.planner.Adopt(g.Job(), t.plannerAttempt[id], found, jobs.StateRunning, now)
 	t.planDue = true
@@ -284,7 +288,7 @@
 
 func (c *Control) newestAttempt(id string) (attempt uint64, found bool) {
 	for _, w := range c.workers {
-		if !w.read {
+		if !w.inventoryRead {
 			continue
 		}
 		for _, task := range w.tasks {
@@ -296,13 +300,14 @@
 	return attempt, found
 }
 
-// resolveUnread settles what waits for workers that were not read, once there are none or their leases have lapsed.
+// resolveUnread marks unseen members as gone and admits blocked jobs, once all workers' inventories have been read or the
+// task leases on the other workers have expired.
 func (c *Control) resolveUnread(now time.Time) {
 	t := c.tenure
-	if t.resolved || c.unread() > 0 && now.Before(t.lapseAt) {
+	if t.unreadResolved || c.unreadWorkers() > 0 && now.Before(t.unreadLeasesExpireAt) {
 		return
 	}
-	t.resolved = true
+	t.unreadResolved = true
 	for _, g := range t.gangs {
 		g.MarkUnseenGone()
 	}
--- a/control/append.go
+++ b/control/appender.go
@@ -12,8 +12,8 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// Parameters of the appender. The log takes several hundred appends per second from all writers together; each of 7
-// failure domains takes at most 10.
+// Parameters of the appender. The log accepts several hundred appends per second from all writers together, of which each of
+// 7 failure domains uses at most 10.
 const (
 	appendsPerSecond = 10
 	appendBatch      = 200
@@ -22,23 +22,23 @@
 	maxAppendBackoff = 4 * time.Second
 )
 
-// appender appends records in batches in the order in which they were queued. It repeats a batch until the log confirms
-// it; the fold makes repeats harmless.
+// appender appends queued records to a stream in batches and in order. It repeats a batch until the log confirms it, which
+// does no harm since the fold ignores repeated records.
 type appender struct {
 	log    infra.Log
 	stream string
-	kick   chan struct{}
-	// out reports the result of each append.
-	out chan error
+	wake   chan struct{}
+	// results receives the result of each append.
+	results chan error
 
 	mu sync.Mutex
-	// queue and generation are guarded by mu. generation counts the drops.
+	// queue and generation are guarded by mu. generation counts the calls of drop.
 	queue      []jobs.Record
 	generation int
 }
 
 func newAppender(log infra.Log, stream string) *appender {
-	return &appender{log: log, stream: stream, kick: make(chan struct{}, 1), out: make(chan error)}
+	return &appender{log: log, stream: stream, wake: make(chan struct{}, 1), results: make(chan error)}
 }
 
 // add queues a record.
@@ -47,12 +47,12 @@
 	a.queue = append(a.queue, r)
 	a.mu.Unlock()
 	select {
-	case a.kick <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
-// drop forgets all queued records. A record that is being appended may still take effect.
+// drop discards all queued records. A record that is being appended may still take effect.
 func (a *appender) drop() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -60,17 +60,17 @@
 	a.generation++
 }
 
-func (a *appender) take() (records []jobs.Record, generation int) {
+func (a *appender) nextBatch() (records []jobs.Record, generation int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := min(len(a.queue), appendBatch)
-	taken := a.queue[:n:n]
+	batch := a.queue[:n:n]
 	a.queue = a.queue[n:]
-	return taken, a.generation
+	return batch, a.generation
 }
 
-// giveBack puts a batch whose append failed in front of the queue, unless the queue was dropped meanwhile.
-func (a *appender) giveBack(batch []jobs.Record, generation int) {
+// requeue puts a batch whose append failed back at the front of the queue, unless the queue was dropped in the meantime.
+func (a *appender) requeue(batch []jobs.Record, generation int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if generation != a.generation {
@@ -84,7 +84,7 @@
 	backoff := appendBackoff
 	for {
 		select {
-		case <-a.kick:
+		case <-a.wake:
 		case <-ctx.Done():
 			return
 		}
@@ -92,7 +92,7 @@
 			if limiter.Wait(ctx) != nil {
 				return
 			}
-			records, generation := a.take()
+			records, generation := a.nextBatch()
 			if len(records) == 0 {
 				break
 			}
@@ -104,7 +104,7 @@
 				backoff = appendBackoff
 				continue
 			}
-			a.giveBack(records, generation)
+			a.requeue(records, generation)
 			if boottime.Sleep(ctx, backoff); ctx.Err() != nil {
 				return
 			}
@@ -115,7 +115,7 @@
 
 func (a *appender) report(ctx context.Context, err error) bool {
 	select {
-	case a.out <- err:
+	case a.results <- err:
 		return true
 	case <-ctx.Done():
 		return false
--- a/control/conditions.go
+++ b/control/conditions.go
@@ -8,13 +8,15 @@
 	"github.com/redwingthread/redwingthread/scheduler"
 )
 
-// conditions are the conditions that were last logged, by a text that names them.
+// conditions holds the conditions that were last logged: quarantined workers by id, degraded guarantees by a text with
+// account, number missing and shape.
 type conditions struct {
 	quarantined map[string]bool
 	degraded    map[string]bool
 }
 
-// reportConditions logs which workers and guarantees changed their condition since the last plan.
+// reportConditions logs quarantined workers and degraded guarantees that came or went since the last plan, and updates their
+// metrics.
 func (c *Control) reportConditions(now scheduler.Conditions) {
 	next := conditions{quarantined: map[string]bool{}, degraded: map[string]bool{}}
 	for _, q := range now.Quarantined {
--- a/control/control.go
+++ b/control/control.go
@@ -16,119 +16,120 @@
 	"github.com/redwingthread/redwingthread/scheduler"
 )
 
-// Control is the scheduler shell of one failure domain. All fields below the channels belong to the goroutine of Run.
+// Control runs the scheduler of one failure domain. The goroutine of Run owns doc and all fields below it.
 type Control struct {
 	Options
-	log     zerolog.Logger
-	cost    *cost
-	queries chan query
+	log         zerolog.Logger
+	instruments *instruments
+	queries     chan query
 	// stopped is closed when Run ends.
 	stopped chan struct{}
-	// state holds the epoch of the tenure, 0 for a standby.
-	state atomic.Uint64
+	// activeEpoch is the epoch of the tenure; 0 for a standby.
+	activeEpoch atomic.Uint64
 
 	follower  *follower
 	appender  *appender
-	responses chan response
-	// requests counts the request goroutines.
+	responses chan requestResult
+	// requests counts the goroutines that send requests to workers.
 	requests sync.WaitGroup
 
-	doc      *config.Document
-	lease    *lease.Core
-	fold     *jobs.Fold
-	workers  map[string]*worker
-	tenure   *tenure
-	leaseDue time.Time
-	// readTail is true once the job stream was read up to its end.
-	readTail bool
-	// tailAt is the time of the last read that reached the end of the stream.
-	tailAt time.Time
-	// readFailed and appendFailed hold the health of the log as last seen.
+	doc           *config.Document
+	lease         *lease.Core
+	fold          *jobs.Fold
+	workers       map[string]*worker
+	tenure        *tenure
+	nextLeaseStep time.Time
+	// caughtUp is set once the job stream was read up to its end.
+	caughtUp bool
+	// caughtUpAt is the time of the last read that reached the end of the job stream.
+	caughtUpAt time.Time
+	// readFailed and appendFailed say whether the last read from and append to the log failed.
 	readFailed   bool
 	appendFailed bool
-	// snapshotAt is the time of the last own snapshot, or of the start.
-	snapshotAt time.Time
-	// conditions are those last logged.
+	// lastSnapshotAt is the time at which this process last queued a snapshot, or the time of the start.
+	lastSnapshotAt time.Time
+	// conditions holds the conditions that were last logged.
 	conditions conditions
 }
 
-// worker is what is known about one configured worker.
+// worker is the known state of one configured worker.
 type worker struct {
 	id      string
 	address string
-	// outstanding is set while a request is under way; there is at most one, so that commands stay in order.
-	outstanding bool
-	retryAt     time.Time
-	// leaseSend is the lease request to make next; nil if there is none.
-	leaseSend *lease.Request
-	// wanted is set if a gang or stray task has commands for the worker.
-	wanted bool
+	// inFlight is set while a request is in flight. There is at most one, so that commands stay in order.
+	inFlight bool
+	retryAt  time.Time
+	// leaseRequest is the lease request to send next; nil if there is none.
+	leaseRequest *lease.Request
+	// requestDue is set if there are commands or task renewals to send to the worker.
+	requestDue bool
 
-	// revision is that of the inventory in tasks; probeRevision is the one last seen by a standby's probe.
+	// revision is the revision of the inventory in tasks, probeRevision the last one that a probe returned.
 	revision      uint64
 	probeRevision uint64
 	incarnation   string
 	tasks         []infra.Task
 	leaving       bool
-	// claimEpoch is that of the claim whose answer brought the inventory; 0 for none.
+	// claimEpoch is the epoch of the claim whose response brought the inventory; 0 for none.
 	claimEpoch uint64
-	// read is set once the inventory was read in this tenure.
-	read bool
-	// health is what the planner was told.
+	// inventoryRead is set once the inventory was read in this tenure.
+	inventoryRead bool
+	// health is the health last reported to the planner.
 	health scheduler.Health
-	// answeredAt is the time of the last granted answer.
-	answeredAt time.Time
-	// touchedAt is the time at which the last request that can extend a task's life was sent.
-	touchedAt time.Time
-	// renewedAt is the time of the last confirmed renewal of task leases.
-	renewedAt time.Time
-	// strays are the commands that remove tasks without a gang.
-	strays []infra.Command
-	// kept lists attempts without a gang whose tasks are kept alive because their job is not known yet.
-	kept []infra.AttemptID
+	// lastResponseAt is the time of the last response that granted the lease.
+	lastResponseAt time.Time
+	// lastExtendedAt is the time at which the last request that may extend a task lease was sent.
+	lastExtendedAt time.Time
+	// lastRenewedAt is the time at which the last confirmed renewal of task leases was sent.
+	lastRenewedAt time.Time
+	// orphanCommands holds the commands that stop or forget tasks without a gang.
+	orphanCommands []infra.Command
+	// unknownAttempts holds attempts without a gang whose tasks are kept alive because their job is not known yet.
+	unknownAttempts []infra.AttemptID
 }
 
-// tenure is the state of the active scheduler. A new one starts with each takeover.
+// tenure is the state of the active scheduler. A new tenure starts with each takeover.
 type tenure struct {
-	epoch   uint64
-	since   time.Time
-	planner scheduler.Planner
-	// adopted is set once the inventories were taken over and planning has begun.
+	epoch     uint64
+	startedAt time.Time
+	planner   scheduler.Planner
+	// adopted is set once the running attempts were adopted and planning has started.
 	adopted bool
-	// lapseAt is the time at which tasks on workers that were never read must have lapsed.
-	lapseAt time.Time
-	// gangs holds the present attempt of each job.
+	// unreadLeasesExpireAt is the time at which the leases of tasks on workers that were never read must have expired.
+	unreadLeasesExpireAt time.Time
+	// gangs holds the current attempt of each job.
 	gangs map[string]*gang.Gang
-	// plannerAttempt is the planner's number of the present attempt.
+	// plannerAttempt holds the planner's number of the current attempt of each job.
 	plannerAttempt map[string]uint64
-	// closing holds the jobs whose ended record is not read back yet.
-	closing map[string]bool
-	// blocked holds the jobs that may still run on a worker that was never read.
+	// endPending holds the jobs whose ended record was queued but not read back yet.
+	endPending map[string]bool
+	// blocked holds the jobs that may still run on a worker whose inventory was never read.
 	blocked map[string]bool
-	// released holds the run-once jobs of which a release may have been sent in this tenure.
+	// released holds the run-once jobs for which a release may have been sent in this tenure.
 	released map[string]bool
-	// intentSent holds the jobs whose intent was queued for the present attempt.
+	// intentSent holds the attempt of each job for which an intent was last queued.
 	intentSent map[string]uint64
 	// checkpoints holds the checkpoints of jobs that were stopped in this tenure.
 	checkpoints map[string][]string
-	// guessed holds the placement that the planner was told of adopted gangs with members that were not found yet.
-	guessed map[string]scheduler.Placement
-	// unsettled holds the gangs that need time to pass or members to be found; the others only need events.
+	// provisional holds the assumed placement that the planner has of adopted gangs while members are not found yet.
+	provisional map[string]scheduler.Placement
+	// unsettled holds the gangs that need steps as time passes or have members not found yet. The others need a step only
+	// after an event.
 	unsettled map[string]*gang.Gang
-	// onWorker lists the gangs on each worker in order of job id; nil after a change of placements.
+	// onWorker holds the gangs on each worker in order of job id; nil after a change of placements.
 	onWorker map[string][]*gang.Gang
-	// resolved is set once no adopted gang and no job waits for workers that were not read.
-	resolved bool
-	// healthAt is the time of the next check of all workers' health.
-	healthAt time.Time
-	// spans holds the trace span of each start under way.
-	spans     map[string]startSpan
-	planDue   bool
-	planAt    time.Time
-	snapshots bool
+	// unreadResolved is set once no adopted gang and no job waits for workers whose inventory was not read.
+	unreadResolved bool
+	// nextHealthCheck is the time of the next check of the health of all workers.
+	nextHealthCheck time.Time
+	// startSpans holds the trace span of each attempt that is starting.
+	startSpans     map[string]startSpan
+	planDue        bool
+	nextPlan       time.Time
+	snapshotQueued bool
 }
 
-// New returns a scheduler shell. The error is of kind BadInput if a dependency is missing.
+// New returns a Control that Run starts. The error is of kind BadInput if a dependency is missing.
 func New(options Options) (*Control, error) {
 	options, err := options.withDefaults()
 	if err != nil {
@@ -136,36 +137,36 @@
 	}
 	stream := infra.JobStream(options.FailureDomain)
 	return &Control{
-		Options:   options,
-		log:       options.Logger,
-		cost:      newCost(options.Metrics),
-		queries:   make(chan query),
-		stopped:   make(chan struct{}),
-		follower:  newFollower(options.Log, stream),
-		appender:  newAppender(options.Log, stream),
-		responses: make(chan response, 64),
-		lease:     lease.New(options.Holder),
-		fold:      jobs.NewFold(),
-		workers:   map[string]*worker{},
+		Options:     options,
+		log:         options.Logger,
+		instruments: newInstruments(options.Metrics),
+		queries:     make(chan query),
+		stopped:     make(chan struct{}),
+		follower:    newFollower(options.Log, stream),
+		appender:    newAppender(options.Log, stream),
+		responses:   make(chan requestResult, 64),
+		lease:       lease.New(options.Holder),
+		fold:        jobs.NewFold(),
+		workers:     map[string]*worker{},
 	}, nil
 }
 
 // Active reports whether the scheduler is active, and the epoch of its tenure.
 func (c *Control) Active() (active bool, epoch uint64) {
-	epoch = c.state.Load()
+	epoch = c.activeEpoch.Load()
 	return epoch > 0, epoch
 }
 
-// Run works until ctx ends, then gives the lease up and returns nil. It must be called once.
+// Run runs the scheduler until ctx ends, then relinquishes the lease and returns nil. It must be called once.
 func (c *Control) Run(ctx context.Context) error {
 	defer close(c.stopped)
 	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	var background sync.WaitGroup
 	background.Go(func() { c.follower.run(workCtx) })
 	background.Go(func() { c.appender.run(workCtx) })
-	c.snapshotAt = time.Now()
+	c.lastSnapshotAt = time.Now()
 	c.loop(ctx, workCtx)
-	c.giveUp(workCtx)
+	c.relinquishLease(workCtx)
 	cancel()
 	background.Wait()
 	c.drainResponses()
@@ -173,30 +174,30 @@
 }
 
 func (c *Control) loop(ctx, workCtx context.Context) {
-	timer := time.NewTimer(c.settle(workCtx, time.Now()))
+	timer := time.NewTimer(c.step(workCtx, time.Now()))
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case b := <-c.follower.out:
-			c.applyBatch(b, time.Now())
+		case b := <-c.follower.results:
+			c.applyRead(b, time.Now())
 		case r := <-c.responses:
 			c.applyResponse(r, time.Now())
-		case err := <-c.appender.out:
+		case err := <-c.appender.results:
 			c.applyAppend(err)
 		case q := <-c.queries:
-			q.reply <- c.answer(q.request)
+			q.reply <- c.handleQuery(q.request)
 		case <-c.ConfigChanged:
 		}
-		timer.Reset(c.settle(workCtx, time.Now()))
+		timer.Reset(c.step(workCtx, time.Now()))
 	}
 }
 
-// settle does all that is due and returns the time until the next step without an event.
-func (c *Control) settle(ctx context.Context, now time.Time) time.Duration {
-	c.cost.updateCPU(now)
+// step does everything that is due and returns the time after which it must be called again if there is no event before.
+func (c *Control) step(ctx context.Context, now time.Time) time.Duration {
+	c.instruments.updateCPU(now)
 	c.applyConfig(now)
 	c.stepLease(now)
 	if c.tenure != nil {
@@ -213,17 +214,17 @@
 			next = at
 		}
 	}
-	earlier(c.leaseDue)
+	earlier(c.nextLeaseStep)
 	for _, w := range c.workers {
-		if w.outstanding {
+		if w.inFlight {
 			continue
 		}
-		if w.wanted || w.leaseSend != nil {
+		if w.requestDue || w.leaseRequest != nil {
 			earlier(w.retryAt)
 		}
 	}
 	if t := c.tenure; t != nil {
-		earlier(t.planAt)
+		earlier(t.nextPlan)
 		for _, g := range t.unsettled {
 			earlier(g.Next())
 			earlier(g.RepeatAt())
@@ -232,7 +233,7 @@
 	return max(next.Sub(now), time.Millisecond)
 }
 
-// applyConfig takes over a changed configuration.
+// applyConfig applies the configuration in force if it has changed.
 func (c *Control) applyConfig(now time.Time) {
 	doc := c.Config()
 	if doc == nil || doc == c.doc {
@@ -253,12 +254,12 @@
 		w.address = configured.Address
 	}
 	for id, w := range c.workers {
-		if c.tenure == nil && !w.outstanding && !c.configured(id) {
+		if c.tenure == nil && !w.inFlight && !c.configured(id) {
 			delete(c.workers, id)
 		}
 	}
 	c.lease.SetWorkers(ids, now)
-	c.leaseDue = now
+	c.nextLeaseStep = now
 	if t := c.tenure; t != nil {
 		t.planner.SetConfig(doc, now)
 		t.planDue = true
@@ -273,73 +274,73 @@
 	return ok && w.FailureDomain == c.FailureDomain
 }
 
-// logUp reports whether the log answered last time.
-func (c *Control) logUp() bool { return !c.readFailed && !c.appendFailed }
+// logAvailable reports whether the last read from and append to the log succeeded.
+func (c *Control) logAvailable() bool { return !c.readFailed && !c.appendFailed }
 
 // stepLease advances the lease and starts or ends the tenure.
 func (c *Control) stepLease(now time.Time) {
 	random := c.Random()
-	if c.tenure != nil && now.Before(c.leaseDue) && c.lease.Active(now) {
+	if c.tenure != nil && now.Before(c.nextLeaseStep) && c.lease.Active(now) {
 		return
 	}
-	sends, next := c.lease.Step(now, random)
+	leaseRequests, next := c.lease.Step(now, random)
 	if !c.withoutLeaseCheck && c.tenure != nil && !c.lease.Active(now) {
-		c.endTenure("the majority of worker leases is lost")
+		c.endTenure("lost the leases of a majority of workers")
 	}
-	for i := range sends {
-		if w := c.workers[sends[i].Worker]; w != nil {
-			w.leaseSend = &sends[i]
+	for i := range leaseRequests {
+		if w := c.workers[leaseRequests[i].Worker]; w != nil {
+			w.leaseRequest = &leaseRequests[i]
 		}
 	}
 	if c.tenure == nil && c.lease.Active(now) {
 		c.startTenure(now)
 	}
-	c.leaseDue = next
+	c.nextLeaseStep = next
 	if soonest := now.Add(minLeaseStep); c.tenure != nil && next.Before(soonest) {
-		c.leaseDue = soonest
+		c.nextLeaseStep = soonest
 	}
 }
 
 func (c *Control) startTenure(now time.Time) {
 	c.tenure = &tenure{
-		epoch:          c.lease.Epoch(),
-		since:          now,
-		planner:        c.NewPlanner(c.FailureDomain),
-		lapseAt:        now.Add(gang.TaskLease + lapseMargin),
-		gangs:          map[string]*gang.Gang{},
-		plannerAttempt: map[string]uint64{},
-		closing:        map[string]bool{},
-		blocked:        map[string]bool{},
-		released:       map[string]bool{},
-		intentSent:     map[string]uint64{},
-		checkpoints:    map[string][]string{},
-		guessed:        map[string]scheduler.Placement{},
-		unsettled:      map[string]*gang.Gang{},
-		spans:          map[string]startSpan{},
+		epoch:                c.lease.Epoch(),
+		startedAt:            now,
+		planner:              c.NewPlanner(c.FailureDomain),
+		unreadLeasesExpireAt: now.Add(gang.TaskLease + expiryMargin),
+		gangs:                map[string]*gang.Gang{},
+		plannerAttempt:       map[string]uint64{},
+		endPending:           map[string]bool{},
+		blocked:              map[string]bool{},
+		released:             map[string]bool{},
+		intentSent:           map[string]uint64{},
+		checkpoints:          map[string][]string{},
+		provisional:          map[string]scheduler.Placement{},
+		unsettled:            map[string]*gang.Gang{},
+		startSpans:           map[string]startSpan{},
 	}
 	for _, w := range c.workers {
-		// The answers that completed the majority came after the worker had refused all older epochs.
-		w.read = w.claimEpoch == c.tenure.epoch
+		// An inventory that came with this claim is current: from then on, the worker has rejected all older epochs.
+		w.inventoryRead = w.claimEpoch == c.tenure.epoch
 	}
-	c.state.Store(c.tenure.epoch)
-	c.cost.tenures.Inc(1)
+	c.activeEpoch.Store(c.tenure.epoch)
+	c.instruments.tenures.Inc(1)
 	c.tenure.planner.SetConfig(c.doc, now)
-	c.follower.poke()
+	c.follower.requestRead()
 	c.log.Info().Uint64("epoch", c.tenure.epoch).Str("holder", c.Holder).Msg("scheduler active")
 }
 
-// endTenure forgets everything that only the active scheduler may rely on. Queued records are dropped: the next holder
-// derives them from the inventories, since tasks are forgotten only after their record was read back.
+// endTenure discards all state that only the active scheduler may rely on, and all queued records. The next holder derives
+// these records from the inventories, since tasks are forgotten only after their ended record was read back.
 func (c *Control) endTenure(reason string) {
 	t := c.tenure
 	c.tenure = nil
-	c.state.Store(0)
+	c.activeEpoch.Store(0)
 	c.appender.drop()
-	for _, span := range t.spans {
+	for _, span := range t.startSpans {
 		span.span.End()
 	}
 	for _, w := range c.workers {
-		*w = worker{id: w.id, address: w.address, outstanding: w.outstanding, leaseSend: w.leaseSend,
+		*w = worker{id: w.id, address: w.address, inFlight: w.inFlight, leaseRequest: w.leaseRequest,
 			health: scheduler.HealthUnreachable}
 	}
 	c.log.Info().Uint64("epoch", t.epoch).Str("reason", reason).Msg("scheduler standby")
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -10,8 +10,8 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// steady starts a scenario's two schedulers without faults and waits until one is active.
-func steady(t *testing.T) *scenario {
+// startScenario starts the two schedulers of a scenario without faults and waits for 10 s, in which one becomes active.
+func startScenario(t *testing.T) *scenario {
 	s := newScenario(1)
 	s.launch(t, 0)
 	s.launch(t, 1)
@@ -19,8 +19,8 @@
 	return s
 }
 
-func (s *scenario) end() {
-	for i, p := range s.procs {
+func (s *scenario) shutDown() {
+	for i, p := range s.processes {
 		if !p.stopped {
 			s.stop(i, false)
 		}
@@ -28,9 +28,9 @@
 	time.Sleep(10 * time.Second)
 }
 
-// activeProc returns the index of the active scheduler, -1 if there is none.
-func (s *scenario) activeProc() int {
-	for i, p := range s.procs {
+// activeProcess returns the index of the active scheduler, -1 if there is none.
+func (s *scenario) activeProcess() int {
+	for i, p := range s.processes {
 		if active, _ := p.control.Active(); active && !p.stopped {
 			return i
 		}
@@ -44,7 +44,7 @@
 			Adjacency: resource.AdjacencyNone, PerMember: resource.Resources{Accelerators: 4}}}})
 }
 
-// running counts the members that run.
+// running returns the number of members of a job that have been released.
 func (s *scenario) running(job string) int {
 	count := 0
 	for _, w := range s.workers {
@@ -59,107 +59,109 @@
 	return count
 }
 
-// TestUrgentStart guards against urgent work that starts later than 1.8 s after its record, also for run-once jobs,
-// which need a round through the log.
+// TestUrgentStart guards against urgent jobs that start later than 1.8 s after their submission. That includes run-once jobs,
+// which first append an intent to the log and read it back.
 func TestUrgentStart(t *testing.T) {
 	for id, runOnce := range map[string]bool{"p9-urgent": false, "o9-urgent": true} {
 		synctest.Test(t, func(t *testing.T) {
-			s := steady(t)
+			s := startScenario(t)
 			s.submitJob(id, 9, runOnce)
 			time.Sleep(1800 * time.Millisecond)
 			if n := s.running(id); n != 9 {
 				t.Errorf("%d of 9 members of %s run after 1.8 s", n, id)
 			}
-			if state := s.ask(id); state != "running " {
+			if state := s.queryStatus(id); state != "running " {
 				t.Errorf("the active scheduler reports %q", state)
 			}
-			s.end()
+			s.shutDown()
 		})
 	}
 }
 
-// TestPlannedStopHandsOver guards against a planned stop after which the standby waits for the leases to lapse, and
-// against running work that suffers from it.
-func TestPlannedStopHandsOver(t *testing.T) {
+// TestStandbyTakesOverAfterPlannedStop guards against a planned stop after which the standby waits until the leases expire,
+// and against one that stops running tasks.
+func TestStandbyTakesOverAfterPlannedStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := steady(t)
+		s := startScenario(t)
 		s.submitJob("p9-running", 9, false)
 		time.Sleep(2 * time.Second)
-		first := s.activeProc()
+		first := s.activeProcess()
 		s.stop(first, false)
 		time.Sleep(3 * time.Second)
-		if next := s.activeProc(); next == first || next < 0 {
+		if next := s.activeProcess(); next == first || next < 0 {
 			t.Error("the standby is not active 3 s after the planned stop")
 		}
 		if n := s.running("p9-running"); n != 9 {
-			t.Errorf("%d of 9 members are left after the planned stop", n)
+			t.Errorf("%d of 9 members still run after the planned stop", n)
 		}
-		s.end()
+		s.shutDown()
 	})
 }
 
-// TestCrashHandsOver guards against a takeover later than the holder lease and the time of a survey and a claim.
-func TestCrashHandsOver(t *testing.T) {
+// TestStandbyTakesOverAfterCrash guards against a takeover after a crash that takes longer than the holder lease plus a survey
+// and a claim.
+func TestStandbyTakesOverAfterCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := steady(t)
-		first := s.activeProc()
+		s := startScenario(t)
+		first := s.activeProcess()
 		s.stop(first, true)
 		time.Sleep(6500 * time.Millisecond)
-		if next := s.activeProc(); next == first || next < 0 {
+		if next := s.activeProcess(); next == first || next < 0 {
 			t.Error("the standby is not active 6.5 s after the crash")
 		}
-		s.end()
+		s.shutDown()
 	})
 }
 
-// TestCrashKeepsTasks guards against task leases that lapse because the new holder renews them too late, wherever in the
-// renewal interval the previous one crashed.
-func TestCrashKeepsTasks(t *testing.T) {
+// TestTaskLeasesSurviveCrash guards against task leases that expire after a crash because the new holder renews them too
+// late. It covers crashes at every second of the renewal interval of the previous holder.
+func TestTaskLeasesSurviveCrash(t *testing.T) {
 	for after := taskRenewInterval; after < 2*taskRenewInterval; after += time.Second {
 		synctest.Test(t, func(t *testing.T) {
-			s := steady(t)
+			s := startScenario(t)
 			for _, w := range s.workers {
-				w.longer = 10 * time.Minute
+				w.extraRunTime = 10 * time.Minute
 			}
 			s.submitJob("p9-running", 9, false)
 			time.Sleep(after)
-			s.stop(s.activeProc(), true)
+			s.stop(s.activeProcess(), true)
 			time.Sleep(40 * time.Second)
 			if n := len(s.ran); n != 9 {
 				t.Errorf("crash after %s: %d members were released, want 9\n%s", after, n, strings.Join(s.events, "\n"))
 			}
-			s.end()
+			s.shutDown()
 		})
 	}
 }
 
-// TestEndedRecordSurvivesOutageAndCrash guards against the end of a job that is lost because the log was down when the
-// job ended and the scheduler crashed before the log was up again.
+// TestEndedRecordSurvivesOutageAndCrash guards against the loss of the end of a job that ended during an outage of the log,
+// if the scheduler crashes before the outage is over.
 func TestEndedRecordSurvivesOutageAndCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := steady(t)
+		s := startScenario(t)
 		s.submitJob("o5-job", 5, true)
 		time.Sleep(2 * time.Second)
 		s.setLog(true, 0)
 		time.Sleep(50 * time.Second)
-		s.stop(s.activeProc(), true)
+		s.stop(s.activeProcess(), true)
 		time.Sleep(10 * time.Second)
 		s.setLog(false, 0)
 		time.Sleep(10 * time.Second)
-		for _, e := range s.open() {
+		for _, e := range s.openJobs() {
 			t.Errorf("job %s has not ended", e.Job.ID)
 		}
 		if runs := s.onceRuns["o5-job/0"]; runs != 1 {
 			t.Errorf("member 0 ran %d times", runs)
 		}
-		s.end()
+		s.shutDown()
 	})
 }
 
-// TestRunOnceWaitsForLog guards against a run-once job that is released while its intent cannot be recorded.
+// TestRunOnceWaitsForLog guards against a run-once job that is released while an outage of the log prevents the record of its
+// intent.
 func TestRunOnceWaitsForLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := steady(t)
+		s := startScenario(t)
 		s.submitJob("o5-job", 5, true)
 		s.setLog(true, 0)
 		time.Sleep(60 * time.Second)
@@ -171,13 +173,13 @@
 		if runs := s.onceRuns["o5-job/0"]; runs != 1 {
 			t.Errorf("member 0 ran %d times after the outage", runs)
 		}
-		s.end()
+		s.shutDown()
 	})
 }
 
-// TestStartsTogether guards against a loop that receives from a timer which is due already: two such receives at once
-// in a synctest bubble corrupt the state of the race detector, which then ends the test program.
-func TestStartsTogether(t *testing.T) {
+// TestSimultaneousStartsDoNotRaceOnTimers guards against a loop that receives from a timer that is already due. Two such
+// receives at the same time in a synctest bubble corrupt the state of the race detector, which then ends the test program.
+func TestSimultaneousStartsDoNotRaceOnTimers(t *testing.T) {
 	const starts = 3000
 	synctest.Test(t, func(t *testing.T) {
 		s := newScenario(1)
--- a/control/fakes_test.go
+++ b/control/fakes_test.go
@@ -14,7 +14,7 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// random is a seeded source that goroutines share.
+// random is a seeded source of random numbers. It is safe for concurrent use.
 type random struct {
 	mu sync.Mutex
 	r  *rand.Rand
@@ -39,11 +39,11 @@
 // fakeTask is a task of a fake worker.
 type fakeTask struct {
 	infra.Task
-	expires time.Time // of the reservation or the task lease
-	readyAt time.Time // end of loading
-	endsAt  time.Time // end by itself
+	expires time.Time // expiry of the reservation or the task lease
+	readyAt time.Time // time at which loading ends
+	endsAt  time.Time // time at which the task completes or fails by itself; zero before its release
 	fails   bool
-	stopAt  time.Time // end of the checkpoint of a stop
+	stopAt  time.Time // time at which the checkpoint of a stop is complete
 	loading bool
 	fresh   bool // started without a checkpoint
 }
@@ -53,7 +53,7 @@
 	member  int
 }
 
-// fakeWorker implements the worker contract with fencing, leases and reservations in memory.
+// fakeWorker is an in-memory worker that implements fencing, leases and reservations.
 type fakeWorker struct {
 	id       string
 	random   *random
@@ -62,25 +62,25 @@
 	onDone   func(key taskKey)
 	onEffect func(w *fakeWorker, epoch uint64, holder string)
 
-	mu          sync.Mutex
-	dead        bool
-	leaving     bool
-	bad         bool // fails what it starts
-	unfenced    bool // grants its lease to anyone
-	longer      time.Duration
-	incarnation int
-	revision    uint64
-	epoch       uint64
-	holder      string
-	leaseUntil  time.Time
-	tasks       map[taskKey]*fakeTask
+	mu           sync.Mutex
+	dead         bool
+	leaving      bool
+	failsTasks   bool // all tasks that it releases fail
+	unfenced     bool // grants its lease to anyone
+	extraRunTime time.Duration
+	incarnation  int
+	revision     uint64
+	epoch        uint64
+	holder       string
+	leaseUntil   time.Time
+	tasks        map[taskKey]*fakeTask
 }
 
 func newFakeWorker(id string, capacity resource.Resources, r *random) *fakeWorker {
 	return &fakeWorker{id: id, random: r, capacity: capacity, revision: 1, tasks: map[taskKey]*fakeTask{}}
 }
 
-// advance applies the passing of time.
+// advance updates the tasks to the time now.
 func (w *fakeWorker) advance(now time.Time) {
 	for key, task := range w.tasks {
 		before := task.State
@@ -120,22 +120,22 @@
 	free := !now.Before(w.leaseUntil)
 	sameHolder := req.Holder == w.holder && req.Epoch >= w.epoch
 	granted := req.Epoch > 0 && (w.unfenced || sameHolder || free && req.Epoch > w.epoch)
-	answer := infra.CommandsResponse{Granted: granted}
+	response := infra.CommandsResponse{Granted: granted}
 	if granted {
 		w.epoch, w.holder = req.Epoch, req.Holder
 		w.leaseUntil = now.Add(time.Duration(req.LeaseMS) * time.Millisecond)
-		w.apply(req, &answer, now)
+		w.apply(req, &response, now)
 	}
-	answer.Epoch, answer.Holder = w.epoch, w.holder
-	answer.ExpiresInMS = max(w.leaseUntil.Sub(now).Milliseconds(), 0)
+	response.Epoch, response.Holder = w.epoch, w.holder
+	response.ExpiresInMS = max(w.leaseUntil.Sub(now).Milliseconds(), 0)
 	if granted && req.KnownRevision != w.revision {
 		inventory := w.inventory()
-		answer.Inventory = &inventory
+		response.Inventory = &inventory
 	}
-	return answer, nil
+	return response, nil
 }
 
-func (w *fakeWorker) apply(req infra.CommandsRequest, answer *infra.CommandsResponse, now time.Time) {
+func (w *fakeWorker) apply(req infra.CommandsRequest, response *infra.CommandsResponse, now time.Time) {
 	taskLease := time.Duration(req.TaskLeaseMS) * time.Millisecond
 	for _, id := range req.Renew {
 		for key, task := range w.tasks {
@@ -149,7 +149,7 @@
 			w.onEffect(w, req.Epoch, req.Holder)
 		}
 		reason := w.applyOne(command, req.Epoch, taskLease, now)
-		answer.Results = append(answer.Results, infra.CommandResult{OK: reason == "", Reason: reason})
+		response.Results = append(response.Results, infra.CommandResult{OK: reason == "", Reason: reason})
 	}
 }
 
@@ -176,8 +176,8 @@
 	case infra.OpRelease:
 		if task.State == infra.TaskHeld {
 			task.State = infra.TaskRunning
-			task.endsAt = now.Add(w.random.between(3*time.Second, 40*time.Second) + w.longer)
-			task.fails = w.bad || w.random.chance(0.03)
+			task.endsAt = now.Add(w.random.between(3*time.Second, 40*time.Second) + w.extraRunTime)
+			task.fails = w.failsTasks || w.random.chance(0.03)
 			w.onRun(w, task)
 			return ""
 		}
@@ -243,15 +243,15 @@
 	return inventory
 }
 
-// set changes the worker and its revision.
-func (w *fakeWorker) set(change func()) {
+// update changes the worker and increments its revision.
+func (w *fakeWorker) update(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
 	w.revision++
 }
 
-// kill loses all tasks and leases; revive starts a new incarnation.
+// kill stops the worker and drops all of its tasks. revive starts a new incarnation without a lease holder.
 func (w *fakeWorker) kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -279,7 +279,8 @@
 	gate    *gate
 
 	mu sync.Mutex
-	// cut, losing requests and responses, and slow are the faults in force.
+	// cut, noReply and lossy are the current faults: by worker, requests that are lost and responses that are lost, and the
+	// probability with which any message is lost or late. The key "*" of cut stands for all workers.
 	cut     map[string]bool
 	noReply map[string]bool
 	lossy   float64
@@ -291,7 +292,8 @@
 	return n.cut[worker] || n.cut["*"], n.noReply[worker], n.lossy
 }
 
-// Commands delivers the request, possibly late or without the response reaching the caller.
+// Commands delivers the request to the worker. According to the faults, the request may be lost or late, and the response may
+// be lost.
 func (n *fakeNet) Commands(ctx context.Context, address string, req infra.CommandsRequest) (infra.CommandsResponse, error) {
 	if !n.gate.pass(ctx) {
 		return infra.CommandsResponse{}, errors.New("killed")
@@ -302,8 +304,8 @@
 		return infra.CommandsResponse{}, ctx.Err()
 	}
 	type result struct {
-		answer infra.CommandsResponse
-		err    error
+		response infra.CommandsResponse
+		err      error
 	}
 	done := make(chan result, 1)
 	delay := n.random.between(time.Millisecond, 4*time.Millisecond)
@@ -312,8 +314,8 @@
 	}
 	go func() {
 		time.Sleep(delay)
-		answer, err := n.workers[address].commands(req, time.Now())
-		done <- result{answer, err}
+		response, err := n.workers[address].commands(req, time.Now())
+		done <- result{response, err}
 	}()
 	select {
 	case r := <-done:
@@ -324,7 +326,7 @@
 		if !n.gate.pass(context.WithoutCancel(ctx)) {
 			return infra.CommandsResponse{}, errors.New("killed")
 		}
-		return r.answer, r.err
+		return r.response, r.err
 	case <-ctx.Done():
 		return infra.CommandsResponse{}, ctx.Err()
 	}
@@ -341,7 +343,8 @@
 	killed bool
 }
 
-// pass waits while the process is frozen and reports false once it was killed.
+// pass waits while the process is frozen and ctx has not ended. It reports whether the process may go on: false once it was
+// killed.
 func (g *gate) pass(ctx context.Context) bool {
 	for {
 		g.mu.Lock()
@@ -376,14 +379,14 @@
 	}
 }
 
-// fakeLog is an in-memory log service with outages, lost responses and late appends.
+// fakeLog is an in-memory log with simulated outages, lost responses and late appends.
 type fakeLog struct {
 	random *random
 
 	mu       sync.Mutex
 	records  []infra.Record
 	oldest   uint64
-	retain   int // number of records; 0 for all
+	retain   int // number of records to retain; 0 for all
 	down     bool
 	lossy    float64
 	appends  int
--- a/control/follow.go
+++ b/control/follower.go
@@ -8,44 +8,44 @@
 	"github.com/redwingthread/redwingthread/infra"
 )
 
-// Parameters of the follower of the job stream.
+// Parameters of the follower.
 const (
 	readLimit  = 500
 	readWaitMS = 10_000
-	// readSlack is added to the wait of a read before it counts as failed. An outage of the log that swallows requests
-	// is noticed after readWaitMS + readSlack.
+	// readSlack is added to the wait of a read before the read counts as failed. An outage in which the log does not respond
+	// at all is noticed after readWaitMS + readSlack.
 	readSlack      = 2 * time.Second
 	readBackoff    = 200 * time.Millisecond
 	maxReadBackoff = 2 * time.Second
 )
 
-// batch is what one read of the job stream gave.
-type batch struct {
+// readResult is the outcome of one read of the job stream.
+type readResult struct {
 	response infra.ReadResponse
 	err      error
 }
 
-// follower reads the job stream. wake makes it read at once.
+// follower reads the job stream and sends the outcome of each read to results.
 type follower struct {
-	log    infra.Log
-	stream string
-	wake   chan struct{}
-	out    chan batch
+	log     infra.Log
+	stream  string
+	wake    chan struct{}
+	results chan readResult
 }
 
 func newFollower(log infra.Log, stream string) *follower {
-	return &follower{log: log, stream: stream, wake: make(chan struct{}, 1), out: make(chan batch)}
+	return &follower{log: log, stream: stream, wake: make(chan struct{}, 1), results: make(chan readResult)}
 }
 
-// poke asks for a read at once. It never blocks.
-func (f *follower) poke() {
+// requestRead requests an immediate read. It never blocks.
+func (f *follower) requestRead() {
 	select {
 	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run reads from offset 0 on until ctx ends.
+// run reads the stream from offset 0 until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	var next uint64
 	backoff := readBackoff
@@ -61,24 +61,24 @@
 		}
 		if err == nil {
 			backoff = readBackoff
-			next = after(response, next)
+			next = nextOffset(response, next)
 			waitMS = readWaitMS
 		}
 		select {
-		case f.out <- batch{response: response, err: err}:
+		case f.results <- readResult{response: response, err: err}:
 		case <-ctx.Done():
 			return
 		}
 		if err != nil {
-			f.pause(ctx, backoff)
+			f.backOff(ctx, backoff)
 			backoff = min(2*backoff, maxReadBackoff)
 			waitMS = 0
 		}
 	}
 }
 
-// after returns the offset to read next.
-func after(r infra.ReadResponse, next uint64) uint64 {
+// nextOffset returns the offset of the next read after response r to a read at offset next.
+func nextOffset(r infra.ReadResponse, next uint64) uint64 {
 	next = max(next, r.Oldest)
 	if n := len(r.Records); n > 0 {
 		next = max(next, r.Records[n-1].Offset+1)
@@ -86,10 +86,11 @@
 	return next
 }
 
-// errWoken ends the wait of a read that a wake interrupted.
+// errWoken is returned by a read whose wait was interrupted by requestRead.
 var errWoken = errors.New("woken")
 
-// read waits for records; a wake ends the wait with errWoken.
+// read reads records from the offset next, waiting up to waitMS for one. It returns errWoken if requestRead is called during
+// the wait.
 func (f *follower) read(ctx context.Context, next uint64, waitMS int) (infra.ReadResponse, error) {
 	timeout := time.Duration(waitMS)*time.Millisecond + readSlack
 	readCtx, cancel := context.WithTimeout(ctx, timeout)
@@ -117,7 +118,7 @@
 	}
 }
 
-func (f *follower) pause(ctx context.Context, wait time.Duration) {
+func (f *follower) backOff(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/control/cost.go
+++ b/control/instruments.go
@@ -9,23 +9,25 @@
 	"github.com/redwingthread/redwingthread/infra"
 )
 
-// cost counts what control costs. Bytes on the wire are counted by infra.HTTPWorkers, which sees the connections.
-type cost struct {
+// instruments holds the metrics of the work that a Control does. infra.HTTPWorkers counts the bytes on the wire, since it
+// handles the connections.
+type instruments struct {
 	requests metrics.Counter
 	failures metrics.Counter
 	commands metrics.Counter
 	renewals metrics.Counter
 	appends  metrics.Counter
 	tenures  metrics.Counter
-	// starts holds the time from the decision to start until all members run, in milliseconds.
+	// starts records the time in milliseconds from the decision to start an attempt until all members run, or until the
+	// start is abandoned.
 	starts metrics.Histogram
-	// cpu holds the processor time of the whole process in milliseconds.
+	// cpu is the processor time of the whole process in milliseconds.
 	cpu   metrics.Gauge
 	cpuAt time.Time
 }
 
-func newCost(registry metrics.Registry) *cost {
-	return &cost{
+func newInstruments(registry metrics.Registry) *instruments {
+	return &instruments{
 		requests: metrics.GetOrRegisterCounter("control.worker.requests", registry),
 		failures: metrics.GetOrRegisterCounter("control.worker.failures", registry),
 		commands: metrics.GetOrRegisterCounter("control.worker.commands", registry),
@@ -37,22 +39,22 @@
 	}
 }
 
-func (c *cost) sent(request *infra.CommandsRequest) {
+func (c *instruments) sent(request *infra.CommandsRequest) {
 	c.requests.Inc(1)
 	c.commands.Inc(int64(len(request.Commands)))
 	c.renewals.Inc(int64(len(request.Renew)))
 }
 
-func (c *cost) received(_ *infra.CommandsResponse, err error) {
+func (c *instruments) received(_ *infra.CommandsResponse, err error) {
 	if err != nil {
 		c.failures.Inc(1)
 	}
 }
 
-// cpuInterval is the time between updates of the processor time.
+// cpuInterval is the time between updates of the cpu gauge.
 const cpuInterval = 5 * time.Second
 
-func (c *cost) updateCPU(now time.Time) {
+func (c *instruments) updateCPU(now time.Time) {
 	if now.Sub(c.cpuAt) < cpuInterval {
 		return
 	}
--- a/control/mechanism_test.go
+++ b/control/mechanism_test.go
@@ -10,8 +10,8 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// TestChecksNoticeMissingMechanisms guards against vacuous checks: without each mechanism some seed must give the
-// violation that the mechanism prevents.
+// TestChecksNoticeMissingMechanisms guards against checks that can never fail: with each mechanism disabled, some seed must
+// cause the violation that the mechanism prevents.
 func TestChecksNoticeMissingMechanisms(t *testing.T) {
 	option := func(set func(*Options)) func(*scenario) {
 		return func(s *scenario) { s.options = set }
@@ -21,16 +21,16 @@
 		violation string
 	}{
 		"intent of run-once jobs": {func(s *scenario) {
-			// Deaths of schedulers and workers together leave jobs without a trace.
-			s.kinds = []int{0, 4, 4}
+			// Crashes of schedulers and workers at the same time leave jobs that no inventory shows.
+			s.faultKinds = []int{0, 4, 4}
 			s.options = func(o *Options) { o.withoutIntentCheck = true }
 		}, "run-once member"},
-		"wait for leases to lapse": {option(func(o *Options) { o.withoutLapseWait = true }), "at once"},
+		"wait for leases to lapse": {option(func(o *Options) { o.withoutExpiryWait = true }), "at once"},
 		"stop of gangs after a loss": {func(s *scenario) {
-			// Tasks must outlast the bound within which members may differ.
-			s.kinds = []int{4}
+			// Tasks must run for longer than the time during which a gang may run partially.
+			s.faultKinds = []int{4}
 			for _, w := range s.workers {
-				w.longer = 2 * gang.DifferBound
+				w.extraRunTime = 2 * gang.DifferBound
 			}
 			s.options = func(o *Options) { o.withoutLossReports = true }
 		}, "differ since"},
@@ -53,18 +53,19 @@
 					}
 				}
 			}
-			t.Fatal("no violation without the mechanism")
+			t.Fatal("no seed caused a violation although the mechanism was disabled")
 		})
 	}
 }
 
-// TestRunOnceWithoutTraceIsUnknown guards against a second run of a run-once job whose workers restarted while no
-// scheduler was there to see it. Without the intent check the job must run twice, else the test shows nothing.
+// TestRunOnceWithoutTraceIsUnknown guards against a second run of a run-once job whose workers all restarted while no
+// scheduler was running, so that no inventory shows the first run. With the intent check disabled the job must run twice;
+// otherwise the test would prove nothing.
 func TestRunOnceWithoutTraceIsUnknown(t *testing.T) {
 	for name, without := range map[string]bool{"with intent check": false, "without intent check": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := steady(t)
+				s := startScenario(t)
 				s.options = func(o *Options) { o.withoutIntentCheck = without }
 				s.submitJob("o5-job", 5, true)
 				time.Sleep(2 * time.Second)
@@ -77,12 +78,12 @@
 				s.launch(t, 0)
 				s.launch(t, 1)
 				time.Sleep(60 * time.Second)
-				e, _ := s.folded().Get("o5-job")
+				e, _ := s.foldLog().Get("o5-job")
 				runs := s.onceRuns["o5-job/0"]
 				if without != (runs == 2) || without != (e.State() != jobs.StateUnknown) {
 					t.Errorf("member 0 ran %d times, state %s", runs, e.State())
 				}
-				s.end()
+				s.shutDown()
 			})
 		})
 	}
--- a/control/prove_test.go
+++ b/control/prove_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// TestProve runs as many seeds from PROVE_SEED on as 12 s of real time allow. It guards against the same faults as
-// TestScenario.
+// TestProve runs scenarios for 10 s of real time, with seeds that start at PROVE_SEED times 1,000,000. It guards against the
+// same failures as TestScenario.
 func TestProve(t *testing.T) {
 	base, err := strconv.ParseUint(os.Getenv("PROVE_SEED"), 10, 64)
 	if err != nil {
@@ -36,7 +36,7 @@
 	fmt.Printf("control: violations: %d\n", total)
 }
 
-// firstViolation returns the index of the first violation in a trace, that of the last event if there is none.
+// firstViolation returns the index of the first violation in a trace, or of the last event if there is none.
 func firstViolation(events []string) int {
 	for i, event := range events {
 		if strings.Contains(event, "VIOLATION") {
--- a/control/send.go
+++ b/control/requests.go
@@ -10,25 +10,25 @@
 	"github.com/redwingthread/redwingthread/scheduler"
 )
 
-// response is the outcome of one request to a worker.
-type response struct {
+// requestResult is a request to a worker with its response or error.
+type requestResult struct {
 	worker  string
 	kind    lease.Kind
 	request infra.CommandsRequest
 	sent    time.Time
-	// epoch is that of the tenure in which the request was sent, 0 for none.
-	epoch  uint64
-	answer infra.CommandsResponse
-	err    error
+	// epoch is the epoch of the tenure in which a renewal was sent; 0 for other requests.
+	epoch    uint64
+	response infra.CommandsResponse
+	err      error
 }
 
-// sendAll starts the requests that are due, at most one for each worker at a time.
+// sendAll sends the requests that are due, with at most one in flight for each worker.
 func (c *Control) sendAll(ctx context.Context, now time.Time) {
 	for _, w := range c.workers {
-		if w.outstanding || now.Before(w.retryAt) {
+		if w.inFlight || now.Before(w.retryAt) {
 			continue
 		}
-		if w.leaseSend == nil && (!w.wanted || c.tenure == nil) {
+		if w.leaseRequest == nil && (!w.requestDue || c.tenure == nil) {
 			continue
 		}
 		c.send(ctx, w, now)
@@ -39,11 +39,11 @@
 	kind := lease.KindRenew
 	epoch := c.lease.Epoch()
 	length := lease.Length
-	if w.leaseSend != nil {
-		kind, epoch, length = w.leaseSend.Kind, w.leaseSend.Epoch, w.leaseSend.Length
+	if w.leaseRequest != nil {
+		kind, epoch, length = w.leaseRequest.Kind, w.leaseRequest.Epoch, w.leaseRequest.Length
 	}
-	w.leaseSend = nil
-	w.wanted = false
+	w.leaseRequest = nil
+	w.requestDue = false
 	if kind == lease.KindRenew && c.tenure == nil {
 		return
 	}
@@ -58,35 +58,35 @@
 		request.KnownRevision = w.probeRevision
 	}
 	if kind == lease.KindClaim {
-		// The whole inventory is read at a takeover. What an earlier claim showed may be of another incarnation of the
-		// worker, whose revisions start anew.
+		// A takeover needs the whole inventory. The known revision may be that of an earlier incarnation of the worker, and
+		// revisions start again with each incarnation.
 		request.KnownRevision = 0
 	}
-	r := response{worker: w.id, kind: kind, sent: now}
+	r := requestResult{worker: w.id, kind: kind, sent: now}
 	if c.tenure != nil && kind == lease.KindRenew {
 		r.epoch = c.tenure.epoch
-		// The process may have been paused since now was read.
+		// The process may have been paused since now was read, so this needs the current time.
 		if c.withoutLeaseCheck || c.lease.Confirmed(time.Now()) {
-			c.fill(&request, w, now)
+			c.addCommands(&request, w, now)
 		}
 	}
 	r.request = request
-	w.outstanding = true
+	w.inFlight = true
 	c.lease.RequestSent(w.id, now)
-	c.cost.sent(&request)
+	c.instruments.sent(&request)
 	address := w.address
 	c.requests.Go(func() {
 		requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		r.answer, r.err = c.Workers.Commands(requestCtx, address, request)
+		r.response, r.err = c.Workers.Commands(requestCtx, address, request)
 		c.responses <- r
 	})
 }
 
-// fill adds the task renewals and commands that are due to a request of the active scheduler.
-func (c *Control) fill(request *infra.CommandsRequest, w *worker, now time.Time) {
+// addCommands adds the task renewals and commands that are due on a worker to a request of the active scheduler.
+func (c *Control) addCommands(request *infra.CommandsRequest, w *worker, now time.Time) {
 	reachable := w.health != scheduler.HealthUnreachable && w.health != scheduler.HealthGone
-	renew := w.read && reachable && now.Sub(w.renewedAt) >= taskRenewInterval
+	renew := w.inventoryRead && reachable && now.Sub(w.lastRenewedAt) >= taskRenewInterval
 	extends := false
 	for _, g := range c.tenure.gangsOn(w.id) {
 		if renew && g.Renewable() {
@@ -104,38 +104,39 @@
 		}
 	}
 	if renew {
-		request.Renew = append(request.Renew, w.kept...)
+		request.Renew = append(request.Renew, w.unknownAttempts...)
 	}
-	request.Commands = append(request.Commands, w.strays...)
+	request.Commands = append(request.Commands, w.orphanCommands...)
 	if extends || len(request.Renew) > 0 {
-		w.touchedAt = now
+		w.lastExtendedAt = now
 	}
 }
 
-// applyResponse takes the result of a request over.
-func (c *Control) applyResponse(r response, now time.Time) {
-	c.cost.received(&r.answer, r.err)
+// applyResponse applies the result of a request to the lease, the worker and its gangs.
+func (c *Control) applyResponse(r requestResult, now time.Time) {
+	c.instruments.received(&r.response, r.err)
 	w := c.workers[r.worker]
 	if w == nil {
 		return
 	}
-	w.outstanding = false
+	w.inFlight = false
 	if r.err != nil {
 		c.lease.RequestFailed(r.worker)
-		// The worker may have restarted, and its new revisions may reach the known one.
+		// The worker may have restarted, and its revisions, which start again, may reach the known one. Revision 0 makes it
+		// send its whole inventory.
 		w.revision = 0
 		w.retryAt = now.Add(retryInterval)
-		w.wanted = w.wanted || len(r.request.Commands) > 0
+		w.requestDue = w.requestDue || len(r.request.Commands) > 0
 		return
 	}
 	w.retryAt = time.Time{}
 	c.lease.ApplyResponse(r.worker, r.kind, r.request.Epoch, r.sent, lease.Response{
-		Granted:   r.answer.Granted,
-		Epoch:     r.answer.Epoch,
-		Holder:    r.answer.Holder,
-		ExpiresIn: time.Duration(r.answer.ExpiresInMS) * time.Millisecond,
+		Granted:   r.response.Granted,
+		Epoch:     r.response.Epoch,
+		Holder:    r.response.Holder,
+		ExpiresIn: time.Duration(r.response.ExpiresInMS) * time.Millisecond,
 	}, now)
-	if inventory := r.answer.Inventory; r.kind == lease.KindProbe && inventory != nil {
+	if inventory := r.response.Inventory; r.kind == lease.KindProbe && inventory != nil {
 		w.probeRevision = inventory.Revision
 	}
 	if r.kind == lease.KindProbe || r.kind == lease.KindRelinquish {
@@ -143,36 +144,36 @@
 	}
 	c.stepLease(now)
 	t := c.tenure
-	if !r.answer.Granted {
+	if !r.response.Granted {
 		return
 	}
 	if t == nil {
-		c.holdClaimInventory(w, r)
+		c.storeClaimInventory(w, r)
 		return
 	}
-	sentIn := r.epoch
+	sentEpoch := r.epoch
 	if r.kind == lease.KindClaim {
-		sentIn = r.request.Epoch
+		sentEpoch = r.request.Epoch
 	}
-	if sentIn != t.epoch {
+	if sentEpoch != t.epoch {
 		return
 	}
 	c.applyGranted(w, r, now)
 }
 
-// holdClaimInventory keeps the inventory that came with a grant before the majority was complete.
-func (c *Control) holdClaimInventory(w *worker, r response) {
+// storeClaimInventory stores the inventory that came with the grant of a claim which has no majority yet.
+func (c *Control) storeClaimInventory(w *worker, r requestResult) {
 	if r.kind != lease.KindClaim || r.request.Epoch != c.lease.Epoch() {
 		return
 	}
-	if inventory := r.answer.Inventory; inventory != nil {
-		w.answeredAt = r.sent
+	if inventory := r.response.Inventory; inventory != nil {
+		w.lastResponseAt = r.sent
 		w.claimEpoch = r.request.Epoch
-		w.takeInventory(inventory)
+		w.setInventory(inventory)
 	}
 }
 
-func (w *worker) takeInventory(inventory *infra.Inventory) (restarted bool) {
+func (w *worker) setInventory(inventory *infra.Inventory) (restarted bool) {
 	restarted = w.incarnation != "" && w.incarnation != inventory.Incarnation
 	w.incarnation = inventory.Incarnation
 	w.revision = inventory.Revision
@@ -181,26 +182,26 @@
 	return restarted
 }
 
-func (c *Control) applyGranted(w *worker, r response, now time.Time) {
+func (c *Control) applyGranted(w *worker, r requestResult, now time.Time) {
 	t := c.tenure
-	w.answeredAt = now
+	w.lastResponseAt = now
 	if len(r.request.Renew) > 0 || len(t.gangsOn(w.id)) == 0 {
-		w.renewedAt = r.sent
+		w.lastRenewedAt = r.sent
 	}
 	restarted := false
-	if r.answer.Inventory != nil {
-		restarted = w.takeInventory(r.answer.Inventory)
+	if r.response.Inventory != nil {
+		restarted = w.setInventory(r.response.Inventory)
 	}
-	if r.answer.Inventory != nil || !w.read {
-		c.readWorker(w, restarted, now)
+	if r.response.Inventory != nil || !w.inventoryRead {
+		c.reconcileInventory(w, restarted, now)
 	}
 	c.applyResults(w, r, now)
 	c.stepGangsOn(w, now)
 	c.updateHealth(w, now)
 }
 
-func (c *Control) applyResults(w *worker, r response, now time.Time) {
-	for i, result := range r.answer.Results {
+func (c *Control) applyResults(w *worker, r requestResult, now time.Time) {
+	for i, result := range r.response.Results {
 		if i >= len(r.request.Commands) {
 			return
 		}
@@ -215,39 +216,40 @@
 		}
 		g.Rejected(command.Member, command.Op, result.Reason, now)
 		c.log.Info().Str("job", command.Attempt.Job).Str("worker", w.id).Str("op", string(command.Op)).
-			Str("reason", result.Reason).Msg("command refused")
+			Str("reason", result.Reason).Msg("worker rejected command")
 	}
 }
 
-// giveUp makes the workers free at once, so that the standby need not wait for the leases to lapse.
-func (c *Control) giveUp(ctx context.Context) {
+// relinquishLease frees the leases of the workers at once, so that the standby need not wait until they expire.
+func (c *Control) relinquishLease(ctx context.Context) {
 	now := time.Now()
 	if c.tenure != nil {
-		c.endTenure("the daemon stops")
+		c.endTenure("the daemon is shutting down")
 	}
-	c.requestsDone()
+	c.waitForRequests()
 	epoch := c.lease.Epoch()
-	sends := c.lease.Relinquish(now)
-	ctx, cancel := context.WithTimeout(ctx, giveUpTimeout)
+	leaseRequests := c.lease.Relinquish(now)
+	ctx, cancel := context.WithTimeout(ctx, relinquishTimeout)
 	defer cancel()
-	for _, s := range sends {
+	for _, s := range leaseRequests {
 		w := c.workers[s.Worker]
 		if w == nil {
 			continue
 		}
 		request := infra.CommandsRequest{Holder: c.Holder, Epoch: epoch, LeaseMS: s.Length.Milliseconds(),
 			TaskLeaseMS: gang.TaskLease.Milliseconds(), KnownRevision: w.revision}
-		c.cost.sent(&request)
+		c.instruments.sent(&request)
 		c.requests.Go(func() {
 			_, err := c.Workers.Commands(ctx, w.address, request)
-			c.responses <- response{worker: w.id, kind: lease.KindRelinquish, err: err}
+			c.responses <- requestResult{worker: w.id, kind: lease.KindRelinquish, err: err}
 		})
 	}
-	c.requestsDone()
+	c.waitForRequests()
 }
 
-// requestsDone waits for the requests under way, which end by their timeouts.
-func (c *Control) requestsDone() {
+// waitForRequests waits for the requests in flight, which their timeouts bound. It discards all results, so that no
+// goroutine blocks on sending one.
+func (c *Control) waitForRequests() {
 	done := make(chan struct{})
 	go func() {
 		c.requests.Wait()
@@ -256,8 +258,8 @@
 	for {
 		select {
 		case <-c.responses:
-		case <-c.follower.out:
-		case <-c.appender.out:
+		case <-c.follower.results:
+		case <-c.appender.results:
 		case <-done:
 			return
 		}
--- a/control/checks_test.go
+++ b/control/scenario_checks_test.go
@@ -19,16 +19,16 @@
 	s.done[taskKey{infra.AttemptID{Job: key.attempt.Job}, key.member}] = true
 }
 
-// complete reports whether a member has completed: in this attempt, or in an earlier one whose checkpointed stop this
-// attempt continues, in which case it is not released again.
-func (s *scenario) complete(attempt infra.AttemptID, member int) bool {
+// memberDone reports whether a member has completed in this attempt, or in an earlier attempt from whose checkpoints this one
+// continues. In the latter case the member is not released again.
+func (s *scenario) memberDone(attempt infra.AttemptID, member int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := taskKey{attempt, member}
 	return s.done[key] || !s.ran[key] && s.done[taskKey{infra.AttemptID{Job: attempt.Job}, member}]
 }
 
-// onRun checks that a run-once job is not started twice.
+// onRun records a released member and checks that no member of a run-once job starts twice without a checkpoint.
 func (s *scenario) onRun(_ *fakeWorker, task *fakeTask) {
 	s.mu.Lock()
 	s.ran[taskKey{task.Attempt, task.Member}] = true
@@ -42,23 +42,24 @@
 	runs := s.onceRuns[key]
 	s.mu.Unlock()
 	if runs > 1 {
-		s.violate("run-once member %s started %d times", key, runs)
+		s.recordViolation("run-once member %s started %d times", key, runs)
 	}
 }
 
-// onEffect checks that each epoch belongs to one holder.
+// onEffect checks that only one holder's commands take effect in each epoch.
 func (s *scenario) onEffect(w *fakeWorker, epoch uint64, holder string) {
 	s.mu.Lock()
 	known, ok := s.epochs[epoch]
 	s.epochs[epoch] = holder
 	s.mu.Unlock()
 	if ok && known != holder {
-		s.violate("epoch %d had effect for %s and %s", epoch, known, holder)
+		s.recordViolation("epoch %d had effect for %s and %s", epoch, known, holder)
 	}
 }
 
-// check looks at the truth on the workers.
-func (s *scenario) check() {
+// checkWorkers checks the tasks on the workers: at most one attempt of each job runs, and no gang runs partially for longer
+// than gang.DifferBound.
+func (s *scenario) checkWorkers() {
 	now := time.Now()
 	type view struct {
 		runs    int
@@ -80,7 +81,7 @@
 				v.runs++
 				v.running[key.member] = true
 				if other, ok := running[key.attempt.Job]; ok && other != key.attempt {
-					s.violate("job %s runs as attempts %d and %d at once", key.attempt.Job, other.Attempt, key.attempt.Attempt)
+					s.recordViolation("job %s runs as attempts %d and %d at once", key.attempt.Job, other.Attempt, key.attempt.Attempt)
 				}
 				running[key.attempt.Job] = key.attempt
 			}
@@ -90,35 +91,35 @@
 	for id, v := range attempts {
 		whole := true
 		for m := range membersOf(id.Job) {
-			whole = whole && (v.runs == 0 || v.running[m] || s.complete(id, m))
+			whole = whole && (v.runs == 0 || v.running[m] || s.memberDone(id, m))
 		}
-		if since, ok := s.differ[id]; whole {
-			delete(s.differ, id)
+		if since, ok := s.partialSince[id]; whole {
+			delete(s.partialSince, id)
 		} else if !ok {
-			s.differ[id] = now
+			s.partialSince[id] = now
 		} else if now.Sub(since) > gang.DifferBound {
-			s.violate("members of %v differ since %s: %+v", id, since.Sub(s.start), *v)
-			s.differ[id] = now
+			s.recordViolation("members of %v differ since %s: %+v", id, since.Sub(s.start), *v)
+			s.partialSince[id] = now
 		}
 	}
-	for id := range s.differ {
+	for id := range s.partialSince {
 		if attempts[id] == nil {
-			delete(s.differ, id)
+			delete(s.partialSince, id)
 		}
 	}
 }
 
-// membersOf returns the number of members that is part of each job id of the scenario.
+// membersOf returns the number of members of a job, which is the second character of its id.
 func membersOf(id string) int {
 	n, _ := strconv.Atoi(id[1:2])
 	return n
 }
 
-// open returns the jobs that have not ended.
-func (s *scenario) open() []*jobs.Entry { return s.folded().Open() }
+// openJobs returns the entries of jobs that have not ended.
+func (s *scenario) openJobs() []*jobs.Entry { return s.foldLog().Open() }
 
-// folded folds the records that the log retains.
-func (s *scenario) folded() *jobs.Fold {
+// foldLog returns a fold of the records that the log retains.
+func (s *scenario) foldLog() *jobs.Fold {
 	fold := jobs.NewFold()
 	s.log.mu.Lock()
 	for _, r := range s.log.records {
@@ -129,28 +130,29 @@
 	return fold
 }
 
-// checkEnds checks that every accepted job has ended, and that one which has not is reported with its reason.
-func (s *scenario) checkEnds() {
-	fold := s.folded()
+// checkAllJobsEnded checks that every accepted job is known and has ended. It reports a job that has not ended with its tasks
+// and the reason that the active scheduler gives.
+func (s *scenario) checkAllJobsEnded() {
+	fold := s.foldLog()
 	for _, id := range s.submitted {
 		if _, known := fold.Get(id); !known {
-			s.violate("accepted job %s is not known any more", id)
+			s.recordViolation("accepted job %s is not known any more", id)
 		}
 	}
-	for _, e := range s.open() {
+	for _, e := range s.openJobs() {
 		for _, w := range s.workers {
 			for key, task := range w.tasks {
 				if key.attempt.Job == e.Job.ID {
-					s.note("%s has %+v", w.id, task.Task)
+					s.tracef("%s has %+v", w.id, task.Task)
 				}
 			}
 		}
-		s.violate("job %s has not ended %s after the faults: %s", e.Job.ID, settleTime, s.ask(e.Job.ID))
+		s.recordViolation("job %s has not ended %s after the faults: %s", e.Job.ID, recoveryTime, s.queryStatus(e.Job.ID))
 	}
 }
 
-func (s *scenario) ask(id string) string {
-	for _, p := range s.procs {
+func (s *scenario) queryStatus(id string) string {
+	for _, p := range s.processes {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		response, err := p.control.Handle(ctx, inner.Member{}, &inner.Request{JobQuery: &inner.JobQuery{ID: id}})
 		cancel()
--- a/control/scenario_test.go
+++ b/control/scenario_test.go
@@ -26,37 +26,38 @@
 	scenarioWorkers = 7
 	scenarioJobs    = 60
 	faultTime       = 150 * time.Second
-	// settleTime is what the system has after the faults: lapse of all leases, then the rest of the work, which is up
-	// to 60 jobs of 40 s of which some need half of the workers and some run three times.
-	settleTime = 600 * time.Second
+	// recoveryTime is the time allowed after the faults for all leases to expire and the remaining jobs to end: up to 60 jobs
+	// of 40 s, of which some need half of the workers and some run three times.
+	recoveryTime = 600 * time.Second
 )
 
-// scenario is one failure domain in virtual time with two schedulers.
+// scenario simulates one failure domain with two schedulers in virtual time.
 type scenario struct {
-	random  *random
-	doc     atomic.Pointer[config.Document]
-	workers map[string]*fakeWorker
-	log     *fakeLog
-	procs   [2]*proc
-	options func(*Options)
-	// kinds restricts the faults; empty for all.
-	kinds []int
-	// submitted lists the ids of all accepted jobs.
+	random    *random
+	doc       atomic.Pointer[config.Document]
+	workers   map[string]*fakeWorker
+	log       *fakeLog
+	processes [2]*process
+	options   func(*Options)
+	// faultKinds holds the kinds of faults to inject, with repeats for a higher probability; empty for all.
+	faultKinds []int
+	// submitted holds the ids of all accepted jobs.
 	submitted []string
 
-	mu         sync.Mutex
-	events     []string
-	violations []string
-	epochs     map[uint64]string
-	onceRuns   map[string]int
-	differ     map[infra.AttemptID]time.Time
-	// ran and done hold the members that an attempt released and that completed.
+	mu           sync.Mutex
+	events       []string
+	violations   []string
+	epochs       map[uint64]string
+	onceRuns     map[string]int
+	partialSince map[infra.AttemptID]time.Time
+	// ran and done hold the members of attempts that were released and that completed. An entry of done with attempt number 0
+	// means that the member completed in any attempt.
 	ran, done map[taskKey]bool
 	start     time.Time
 }
 
-// proc is one scheduler process.
-type proc struct {
+// process is one scheduler process.
+type process struct {
 	control *Control
 	net     *fakeNet
 	gate    *gate
@@ -66,28 +67,28 @@
 	stopped bool
 }
 
-func (s *scenario) note(format string, args ...any) {
+func (s *scenario) tracef(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, fmt.Sprintf("%7.2fs ", time.Since(s.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (s *scenario) violate(format string, args ...any) {
-	s.note("VIOLATION "+format, args...)
+func (s *scenario) recordViolation(format string, args ...any) {
+	s.tracef("VIOLATION "+format, args...)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// Write keeps the log lines of the schedulers in the trace.
+// Write adds a log line of a scheduler to the trace.
 func (s *scenario) Write(line []byte) (int, error) {
-	s.note("%s", line[:len(line)-1])
+	s.tracef("%s", line[:len(line)-1])
 	return len(line), nil
 }
 
 func newScenario(seed uint64) *scenario {
 	s := &scenario{random: newRandom(seed), workers: map[string]*fakeWorker{}, start: time.Now(),
-		epochs: map[uint64]string{}, onceRuns: map[string]int{}, ran: map[taskKey]bool{}, done: map[taskKey]bool{}, differ: map[infra.AttemptID]time.Time{}}
+		epochs: map[uint64]string{}, onceRuns: map[string]int{}, ran: map[taskKey]bool{}, done: map[taskKey]bool{}, partialSince: map[infra.AttemptID]time.Time{}}
 	capacity := resource.Resources{Accelerators: 8, MilliCPU: 32000, MemoryMB: 64000}
 	doc := &config.Document{Workers: map[string]resource.Worker{},
 		FailureDomains: map[string]config.FailureDomain{"fd": {Name: "fd"}},
@@ -107,12 +108,12 @@
 	return s
 }
 
-// launch starts process i with a new incarnation.
+// launch starts a new incarnation of process i.
 func (s *scenario) launch(t *testing.T, i int) {
-	p := s.procs[i]
+	p := s.processes[i]
 	if p == nil {
-		p = &proc{}
-		s.procs[i] = p
+		p = &process{}
+		s.processes[i] = p
 	}
 	p.serial++
 	p.stopped = false
@@ -140,16 +141,17 @@
 	}()
 }
 
-// stop ends process i, gracefully or as by SIGKILL.
+// stop ends process i, gracefully or, with kill, as SIGKILL does.
 func (s *scenario) stop(i int, kill bool) {
-	p := s.procs[i]
+	p := s.processes[i]
 	p.gate.resume(kill)
 	p.cancel()
 	<-p.done
 	p.stopped = true
 }
 
-// submit appends a random job; its id tells the class (o run-once, p plain) and the number of members.
+// submit appends a random job as number n. Its id consists of the class (o for run-once, p for others), the number of members
+// and n. Some jobs are cancelled after a random time.
 func (s *scenario) submit(n int) {
 	job := jobs.Job{Account: "a", FailureDomain: "fd", Run: []string{"run"}, Submitted: time.Now()}
 	job.Shape = resource.Shape{Members: 1 + s.random.intn(5), Adjacency: resource.AdjacencyNone,
@@ -175,17 +177,17 @@
 func (s *scenario) append(r jobs.Record) {
 	data, err := jobs.Encode(r)
 	if err != nil {
-		s.violate("encode: %v", err)
+		s.recordViolation("encode: %v", err)
 		return
 	}
 	s.log.append([][]byte{data})
 }
 
-// fault injects one random fault and returns what ends it.
-func (s *scenario) fault(t *testing.T) (undo func()) {
+// injectFault injects one random fault and returns the function that ends it.
+func (s *scenario) injectFault(t *testing.T) (undo func()) {
 	i := s.random.intn(2)
 	w := s.workers[fmt.Sprintf("w-%d", s.random.intn(scenarioWorkers))]
-	p := s.procs[i]
+	p := s.processes[i]
 	net := p.net
 	setNet := func(change func(n *fakeNet)) {
 		net.mu.Lock()
@@ -193,10 +195,10 @@
 		change(net)
 	}
 	kind := s.random.intn(13)
-	if len(s.kinds) > 0 {
-		kind = s.kinds[s.random.intn(len(s.kinds))]
+	if len(s.faultKinds) > 0 {
+		kind = s.faultKinds[s.random.intn(len(s.faultKinds))]
 	}
-	s.note("fault %d on scheduler %d or %s", kind, i, w.id)
+	s.tracef("fault %d on scheduler %d or %s", kind, i, w.id)
 	switch kind {
 	case 0, 1:
 		if p.stopped {
@@ -226,21 +228,21 @@
 	}
 	switch kind {
 	case 9:
-		s.drain(w.id, true)
-		return func() { s.drain(w.id, false) }
+		s.setDrain(w.id, true)
+		return func() { s.setDrain(w.id, false) }
 	case 10:
-		w.set(func() { w.bad = true })
-		return func() { w.set(func() { w.bad = false }) }
+		w.update(func() { w.failsTasks = true })
+		return func() { w.update(func() { w.failsTasks = false }) }
 	case 11:
-		w.set(func() { w.leaving = true })
-		return func() { w.set(func() { w.leaving = false }) }
+		w.update(func() { w.leaving = true })
+		return func() { w.update(func() { w.leaving = false }) }
 	}
 	s.setLog(s.random.chance(0.5), 0.3)
 	return func() { s.setLog(false, 0) }
 }
 
-// drain puts another document in force.
-func (s *scenario) drain(worker string, on bool) {
+// setDrain publishes a configuration in which a worker is drained, or no longer is.
+func (s *scenario) setDrain(worker string, on bool) {
 	next := *s.doc.Load()
 	next.Version++
 	next.Drains = maps.Clone(next.Drains)
@@ -260,7 +262,8 @@
 	s.log.down, s.log.lossy = down, lossy
 }
 
-// run submits jobs and injects faults, then lets everything settle.
+// run submits jobs and injects faults for faultTime, then waits up to recoveryTime until all jobs have ended. It checks the
+// workers all the time.
 func (s *scenario) run(t *testing.T) {
 	s.launch(t, 0)
 	s.launch(t, 1)
@@ -268,12 +271,12 @@
 	next, n := [2]time.Time{}, 0
 	for time.Since(s.start) < faultTime {
 		time.Sleep(250 * time.Millisecond)
-		s.check()
+		s.checkWorkers()
 		if n < scenarioJobs && s.random.chance(0.15) {
 			s.submit(n)
 			n++
 		}
-		// Two series of faults overlap.
+		// Two independent series of faults overlap.
 		for i := range undo {
 			if time.Now().Before(next[i]) {
 				continue
@@ -284,7 +287,7 @@
 				undo[i] = nil
 				continue
 			}
-			undo[i] = s.fault(t)
+			undo[i] = s.injectFault(t)
 		}
 	}
 	for i := range undo {
@@ -292,21 +295,22 @@
 			undo[i]()
 		}
 	}
-	s.note("faults end")
+	s.tracef("all faults ended")
 	rounds := 0
-	for end := time.Now().Add(settleTime); time.Now().Before(end); {
+	for end := time.Now().Add(recoveryTime); time.Now().Before(end); {
 		time.Sleep(250 * time.Millisecond)
-		s.check()
-		if rounds++; rounds%8 == 0 && len(s.open()) == 0 {
+		s.checkWorkers()
+		if rounds++; rounds%8 == 0 && len(s.openJobs()) == 0 {
 			break
 		}
 	}
-	s.checkEnds()
+	s.checkAllJobsEnded()
 	s.stop(0, false)
 	s.stop(1, false)
 }
 
-// runScenario runs one seed in virtual time and returns the violations and the trace.
+// runScenario runs the scenario of a seed in virtual time and returns its violations and trace. Each change modifies the
+// scenario before the run.
 func runScenario(t *testing.T, seed uint64, change ...func(*scenario)) (violations, events []string) {
 	t.Helper()
 	var collected invariant.Log
@@ -327,8 +331,9 @@
 	return s.violations, s.events
 }
 
-// TestScenario guards against gangs that run partially, run-once jobs that start twice, two schedulers that act at once,
-// work that stays stuck, and jobs that are lost when the log drops old records, over a few seeds.
+// TestScenario guards against gangs that run partially, run-once jobs that start twice, two schedulers that act at the same
+// time, jobs that never end, and jobs that are lost when the log drops old records. Seeded random faults in schedulers,
+// workers, network and log may cause them.
 func TestScenario(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		changes := []func(*scenario){retain(20)}[:seed%2]
@@ -342,7 +347,7 @@
 
 func newPlanner(failureDomain string) scheduler.Planner { return scheduler.New(failureDomain) }
 
-// retain makes the log keep 80 records, and the scheduler append a snapshot after a number of records.
+// retain limits the log to the newest 80 records and makes the schedulers append a snapshot after snapshotRecords records.
 func retain(snapshotRecords uint64) func(*scenario) {
 	return func(s *scenario) {
 		s.log.retain = 80
--- a/control/stream.go
+++ b/control/stream.go
@@ -7,8 +7,8 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// applyBatch folds records of the job stream.
-func (c *Control) applyBatch(b batch, now time.Time) {
+// applyRead applies the records of one read of the job stream.
+func (c *Control) applyRead(b readResult, now time.Time) {
 	if b.err != nil {
 		c.readFailed = true
 		c.log.Warn().Err(b.err).Msg("job stream not read")
@@ -29,32 +29,32 @@
 	if c.fold.Next() < b.response.Next {
 		return
 	}
-	c.tailAt = now
-	if !c.readTail {
-		c.readTail = true
-		c.sortAllStrays()
+	c.caughtUpAt = now
+	if !c.caughtUp {
+		c.caughtUp = true
+		c.classifyAllOrphans()
 	}
 }
 
-func (c *Control) sortAllStrays() {
+func (c *Control) classifyAllOrphans() {
 	if c.tenure == nil || !c.tenure.adopted {
 		return
 	}
 	for _, w := range c.workers {
-		c.sortStrays(w)
+		c.classifyOrphans(w)
 	}
 }
 
-// applyChange acts on a change of the folded state as the active scheduler.
+// applyChange reacts to a change of the folded state in the active scheduler.
 func (c *Control) applyChange(change jobs.Change, id string, now time.Time) {
 	t := c.tenure
 	e, _ := c.fold.Get(id)
 	switch change {
 	case jobs.ChangeSubmitted:
 		if !c.adoptJob(id, now) {
-			// The record is newer than the takeover, so no previous holder has started the job, unless the stream was
-			// not read to its end at the takeover.
-			if c.readTail {
+			// A record that is newer than the takeover names a job that no previous holder has started. That is certain only
+			// if the stream has been read to its end.
+			if c.caughtUp {
 				c.submit(e, now)
 			} else {
 				c.admit(e, now)
@@ -67,7 +67,7 @@
 			c.stepGang(g, now)
 		}
 	case jobs.ChangeEnded:
-		c.endedRead(id, now)
+		c.applyEnded(id, now)
 	case jobs.ChangeLoaded:
 		for _, open := range c.fold.Open() {
 			if t.gangs[open.Job.ID] == nil && !t.blocked[open.Job.ID] && !c.adoptJob(open.Job.ID, now) {
@@ -77,27 +77,28 @@
 	}
 }
 
-// cancel ends a waiting job at once and asks the planner to stop a placed one.
+// cancel ends a waiting job at once. For a placed job, it makes the planner plan a stop.
 func (c *Control) cancel(e *jobs.Entry, now time.Time) {
 	t := c.tenure
 	id := e.Job.ID
 	t.planner.Cancel(id, now)
 	t.planDue = true
 	if t.gangs[id] == nil && !t.blocked[id] {
-		c.end(e.Job, e.Attempt, jobs.StateCancelled, "cancelled")
+		c.endJob(e.Job, e.Attempt, jobs.StateCancelled, "cancelled")
 	}
 }
 
-// endedRead forgets a job whose ended record was read back, or was written by another scheduler.
-func (c *Control) endedRead(id string, now time.Time) {
+// applyEnded removes the state of a job whose ended record was read. If another scheduler wrote the record, it also stops the
+// current attempt.
+func (c *Control) applyEnded(id string, now time.Time) {
 	t := c.tenure
 	delete(t.blocked, id)
 	delete(t.checkpoints, id)
 	delete(t.released, id)
 	delete(t.intentSent, id)
 	g := t.gangs[id]
-	if t.closing[id] {
-		delete(t.closing, id)
+	if t.endPending[id] {
+		delete(t.endPending, id)
 		if g != nil {
 			c.removeGang(g)
 		}
@@ -106,26 +107,26 @@
 	t.planner.Cancel(id, now)
 	t.planDue = true
 	if g != nil {
-		g.Stop("the job has ended", 0)
+		g.Stop("another scheduler recorded the end of the job", 0)
 		c.stepGang(g, now)
 	}
 }
 
-// applyAppend records whether the log accepts records.
+// applyAppend records whether the last append to the log succeeded.
 func (c *Control) applyAppend(err error) {
 	c.appendFailed = err != nil
 	if err != nil {
 		c.log.Warn().Err(err).Msg("records not appended, they are kept")
 		return
 	}
-	c.cost.appends.Inc(1)
-	c.follower.poke()
+	c.instruments.appends.Inc(1)
+	c.follower.requestRead()
 }
 
-// answer answers a JobQuery from the folded stream and, if active, from the planner and the gangs.
-func (c *Control) answer(q inner.JobQuery) inner.JobQueryResponse {
+// handleQuery responds to a JobQuery from the folded stream and, while active, from the planner and the gangs.
+func (c *Control) handleQuery(q inner.JobQuery) inner.JobQueryResponse {
 	if q.Wake {
-		c.follower.poke()
+		c.follower.requestRead()
 	}
 	response := inner.JobQueryResponse{Active: c.tenure != nil && c.tenure.adopted}
 	if q.Wake && q.ID == "" {
@@ -163,10 +164,10 @@
 		return status
 	}
 	switch {
-	case t.closing[id]:
-		status.Reason = "its end waits to be recorded in the log"
+	case t.endPending[id]:
+		status.Reason = "ended, waiting for its end to be recorded in the log"
 	case t.blocked[id]:
-		status.Reason = "waits until the task leases on unreachable workers must have lapsed"
+		status.Reason = "waiting until the task leases on unreachable workers have expired"
 	default:
 		status.Reason = t.planner.Why(id, time.Now())
 	}
--- a/control/tenure.go
+++ b/control/tenure.go
@@ -15,24 +15,24 @@
 	"github.com/redwingthread/redwingthread/scheduler"
 )
 
-// Snapshot rules: a snapshot is appended after Options.SnapshotRecords records or snapshotInterval, whichever comes first, so
-// that it is renewed well before the oldest record that it covers expires.
+// A snapshot is appended after Options.SnapshotRecords records, by default snapshotRecords, or after snapshotInterval,
+// whichever comes first, so that it is renewed well before the oldest record that it covers expires.
 const (
 	snapshotRecords  = 1000
 	snapshotInterval = 10 * time.Minute
 )
 
-// attemptsPerTenure separates the attempt numbers of tenures, so that no attempt of a previous holder has the number of
-// a new one.
+// attemptsPerTenure is the size of the range of attempt numbers of each tenure, so that no two holders use the same attempt
+// number.
 const attemptsPerTenure = 10_000
 
-// startSpan is the span of a start under way.
+// startSpan is the trace span of an attempt that is starting.
 type startSpan struct {
 	span  trace.Span
 	since time.Time
 }
 
-// gangsOn returns the gangs with a member on a worker.
+// gangsOn returns the gangs with a member on a worker in order of job id.
 func (t *tenure) gangsOn(worker string) []*gang.Gang {
 	if t.onWorker != nil {
 		return t.onWorker[worker]
@@ -49,10 +49,11 @@
 	return t.onWorker[worker]
 }
 
-// settled reports whether a gang needs no step before the next event.
+// settled reports whether a gang needs no step until the next event.
 func settled(g *gang.Gang) bool { return g.Phase() == gang.PhaseRunning && !g.Unseen() }
 
-// stepTenure does what the active scheduler has to do now.
+// stepTenure does everything that is due in the active scheduler: adoption, health checks, steps of gangs, planning and
+// snapshots.
 func (c *Control) stepTenure(ctx context.Context, now time.Time) {
 	t := c.tenure
 	if !t.adopted {
@@ -61,11 +62,11 @@
 		}
 		c.adoptAll(now)
 	}
-	if !now.Before(t.healthAt) {
-		t.healthAt = now.Add(healthInterval)
+	if !now.Before(t.nextHealthCheck) {
+		t.nextHealthCheck = now.Add(healthInterval)
 		for id, w := range c.workers {
 			c.updateHealth(w, now)
-			if w.health == scheduler.HealthGone && !w.outstanding && !c.configured(id) && len(t.gangsOn(id)) == 0 {
+			if w.health == scheduler.HealthGone && !w.inFlight && !c.configured(id) && len(t.gangsOn(id)) == 0 {
 				delete(c.workers, id)
 			}
 		}
@@ -78,41 +79,41 @@
 	c.snapshot(now)
 }
 
-// readyToAdopt reports whether the workers and the job stream have been read, as far as they answer in time.
+// readyToAdopt reports whether the inventories and the job stream have been read, or the time allowed for it has passed.
 func (c *Control) readyToAdopt(now time.Time) bool {
-	waited := now.Sub(c.tenure.since)
-	readWorkers := c.unread() == 0 || waited >= readGrace
-	readLog := !c.tailAt.Before(c.tenure.since) || (c.readFailed && waited >= readGrace) || waited >= catchUpGrace
+	waited := now.Sub(c.tenure.startedAt)
+	readWorkers := c.unreadWorkers() == 0 || waited >= readGrace
+	readLog := !c.caughtUpAt.Before(c.tenure.startedAt) || (c.readFailed && waited >= readGrace) || waited >= catchUpGrace
 	return readWorkers && readLog
 }
 
-// updateHealth derives the health of a worker from its answers.
+// updateHealth derives the health of a worker from the time of its last response.
 func (c *Control) updateHealth(w *worker, now time.Time) {
 	t := c.tenure
 	if !t.adopted {
 		return
 	}
-	silent := now.Sub(w.answeredAt)
+	sinceResponse := now.Sub(w.lastResponseAt)
 	switch {
-	case w.read && silent < unreachableAfter:
+	case w.inventoryRead && sinceResponse < unreachableAfter:
 		c.setHealth(w, c.reachableHealth(w), now)
-	case !w.read && now.Before(t.lapseAt):
+	case !w.inventoryRead && now.Before(t.unreadLeasesExpireAt):
 		c.setHealth(w, scheduler.HealthUnreachable, now)
-	case w.read && now.Before(c.tasksLapse(w)) && !c.withoutLapseWait:
+	case w.inventoryRead && now.Before(c.taskLeasesExpireAt(w)) && !c.withoutExpiryWait:
 		c.setHealth(w, scheduler.HealthUnreachable, now)
 	default:
-		c.setGone(w, now)
+		c.markGone(w, now)
 	}
 }
 
-// tasksLapse returns the time at which all tasks on a silent worker must have lapsed. The previous holder may have
-// renewed them until the start of this tenure.
-func (c *Control) tasksLapse(w *worker) time.Time {
-	last := c.tenure.since
-	if w.touchedAt.After(last) {
-		last = w.touchedAt
-	}
-	return last.Add(gang.TaskLease + lapseMargin)
+// taskLeasesExpireAt returns the time at which the leases of all tasks on a worker that does not respond must have expired.
+// The previous holder may have renewed them until the start of this tenure.
+func (c *Control) taskLeasesExpireAt(w *worker) time.Time {
+	last := c.tenure.startedAt
+	if w.lastExtendedAt.After(last) {
+		last = w.lastExtendedAt
+	}
+	return last.Add(gang.TaskLease + expiryMargin)
 }
 
 func (c *Control) reachableHealth(w *worker) scheduler.Health {
@@ -136,15 +137,15 @@
 	c.tenure.planDue = true
 }
 
-// setGone ends the members on a worker whose task leases must have lapsed.
-func (c *Control) setGone(w *worker, now time.Time) {
+// markGone marks a worker as gone, together with its members, since their task leases must have expired.
+func (c *Control) markGone(w *worker, now time.Time) {
 	if w.health == scheduler.HealthGone {
 		return
 	}
 	w.revision = 0
 	w.tasks = nil
-	w.strays = nil
-	w.kept = nil
+	w.orphanCommands = nil
+	w.unknownAttempts = nil
 	c.setHealth(w, scheduler.HealthGone, now)
 	if c.withoutLossReports {
 		return
@@ -154,7 +155,7 @@
 	}
 }
 
-// stepGangsOn advances the gangs on a worker after news from it.
+// stepGangsOn advances the gangs on a worker after a response from it.
 func (c *Control) stepGangsOn(w *worker, now time.Time) {
 	if !c.tenure.adopted {
 		return
@@ -164,15 +165,15 @@
 	}
 }
 
-// stepGang advances one gang and does what follows from its new phase.
+// stepGang advances one gang and acts on its new phase.
 func (c *Control) stepGang(g *gang.Gang, now time.Time) {
 	t := c.tenure
 	id := g.Job().ID
-	if t.gangs[id] != g || t.closing[id] {
+	if t.gangs[id] != g || t.endPending[id] {
 		return
 	}
 	before := g.Phase()
-	if before == gang.PhaseAwaitingLog && c.logUp() {
+	if before == gang.PhaseAwaitingLog && c.logAvailable() {
 		g.LogAvailable(now)
 	}
 	if g.NeedsIntent() {
@@ -193,12 +194,12 @@
 	}
 	for _, worker := range g.Workers() {
 		w := c.workers[worker]
-		if w != nil && !w.wanted && len(g.Commands(worker, now)) > 0 {
-			w.wanted = true
+		if w != nil && !w.requestDue && len(g.Commands(worker, now)) > 0 {
+			w.requestDue = true
 		}
 	}
 	if g.Phase() == gang.PhaseEnded {
-		c.finish(g, now)
+		c.attemptEnded(g, now)
 	}
 }
 
@@ -207,7 +208,7 @@
 	id := g.Job().ID
 	c.log.Info().Str("job", id).Str("account", g.Job().Account).Uint64("attempt", g.ID().Attempt).
 		Str("phase", string(g.Phase())).Msg("attempt advanced")
-	start, starting := t.spans[id]
+	start, starting := t.startSpans[id]
 	switch g.Phase() {
 	case gang.PhaseRunning:
 		t.planner.Started(id, t.plannerAttempt[id], now)
@@ -220,13 +221,13 @@
 		return
 	}
 	if starting {
-		c.cost.starts.Update(now.Sub(start.since).Milliseconds())
+		c.instruments.starts.Update(now.Sub(start.since).Milliseconds())
 		start.span.End()
-		delete(t.spans, id)
+		delete(t.startSpans, id)
 	}
 }
 
-// checkIntent tells a gang whether its intent won.
+// checkIntent notifies a gang if the log shows whether its intent won.
 func (c *Control) checkIntent(g *gang.Gang) {
 	e, ok := c.fold.Get(g.Job().ID)
 	switch {
@@ -250,11 +251,11 @@
 	t.intentSent[id.Job] = id.Attempt
 	c.appender.add(jobs.Record{Kind: jobs.RecordIntent, Intent: &jobs.Intent{
 		Job: id.Job, Attempt: id.Attempt, Holder: c.Holder, Epoch: t.epoch}})
-	c.follower.poke()
+	c.follower.requestRead()
 }
 
-// finish reports an ended attempt to the planner and, if it ends the job, to the log.
-func (c *Control) finish(g *gang.Gang, now time.Time) {
+// attemptEnded reports an ended attempt to the planner. It queues an ended record if the job has ended or was checkpointed.
+func (c *Control) attemptEnded(g *gang.Gang, now time.Time) {
 	t := c.tenure
 	job := g.Job()
 	result := g.Result()
@@ -271,7 +272,7 @@
 		final, result.Detail = status.State, status.Reason
 	}
 	if final != "" {
-		c.end(job, g.ID().Attempt, final, result.Detail)
+		c.endJob(job, g.ID().Attempt, final, result.Detail)
 		return
 	}
 	if result.Checkpointed {
@@ -287,13 +288,13 @@
 	}
 }
 
-// end queues the ended record of a job. Its tasks stay in the inventories until the record is read back.
-func (c *Control) end(job jobs.Job, attempt uint64, state jobs.State, detail string) {
+// endJob queues the ended record of a job. The tasks stay in the inventories until the record is read back.
+func (c *Control) endJob(job jobs.Job, attempt uint64, state jobs.State, detail string) {
 	t := c.tenure
-	if t.closing[job.ID] {
+	if t.endPending[job.ID] {
 		return
 	}
-	t.closing[job.ID] = true
+	t.endPending[job.ID] = true
 	delete(t.blocked, job.ID)
 	c.log.Info().Str("job", job.ID).Str("account", job.Account).Str("state", string(state)).Str("detail", detail).
 		Msg("job ended")
@@ -308,29 +309,29 @@
 	delete(t.unsettled, id)
 	t.onWorker = nil
 	delete(t.plannerAttempt, id)
-	delete(t.guessed, id)
+	delete(t.provisional, id)
 	for _, worker := range g.Workers() {
-		if w := c.workers[worker]; w != nil && w.read {
-			c.sortStrays(w)
+		if w := c.workers[worker]; w != nil && w.inventoryRead {
+			c.classifyOrphans(w)
 		}
 	}
 }
 
-// plan carries out what the planner decides.
+// plan runs the planner if a plan is due, and carries out its decisions.
 func (c *Control) plan(ctx context.Context, now time.Time) {
 	t := c.tenure
-	if !t.planDue && (t.planAt.IsZero() || now.Before(t.planAt)) {
+	if !t.planDue && (t.nextPlan.IsZero() || now.Before(t.nextPlan)) {
 		return
 	}
 	t.planDue = false
 	plan := t.planner.Plan(now)
-	t.planAt = plan.NextCheck
+	t.nextPlan = plan.NextCheck
 	for _, stop := range plan.Stops {
 		c.stopAttempt(stop, now)
 	}
 	for _, condemned := range plan.Condemned {
 		if e, ok := c.fold.Get(condemned.Job); ok && t.gangs[condemned.Job] == nil && e.Ended == nil {
-			c.end(e.Job, e.Attempt, jobs.StateFailed, condemned.Detail)
+			c.endJob(e.Job, e.Attempt, jobs.StateFailed, condemned.Detail)
 		}
 	}
 	for _, start := range plan.Starts {
@@ -356,40 +357,40 @@
 	t := c.tenure
 	id := start.Job.ID
 	e, ok := c.fold.Get(id)
-	if !ok || e.Ended != nil || e.Cancelled || t.gangs[id] != nil || t.closing[id] {
+	if !ok || e.Ended != nil || e.Cancelled || t.gangs[id] != nil || t.endPending[id] {
 		t.planner.Ended(id, start.Attempt, scheduler.Result{Kind: scheduler.ResultNotStarted}, now)
 		t.planner.Cancel(id, now)
 		t.planDue = true
 		return
 	}
-	from := t.checkpoints[id]
-	if from == nil {
-		from = e.Checkpoints
+	resumeFrom := t.checkpoints[id]
+	if resumeFrom == nil {
+		resumeFrom = e.Checkpoints
 	}
 	attempt := t.epoch*attemptsPerTenure + start.Attempt%attemptsPerTenure
-	g := gang.New(start.Job, attempt, start.Placement, from, start.Job.RunOnce && !c.logUp(), now)
+	g := gang.New(start.Job, attempt, start.Placement, resumeFrom, start.Job.RunOnce && !c.logAvailable(), now)
 	t.gangs[id] = g
 	t.onWorker = nil
 	t.plannerAttempt[id] = start.Attempt
 	_, span := otel.Tracer("redwingthread/control").Start(ctx, "start attempt", trace.WithAttributes(
 		attribute.String("job", id), attribute.String("account", start.Job.Account),
 		attribute.String("failure_domain", c.FailureDomain), attribute.Int64("attempt", int64(attempt))))
-	t.spans[id] = startSpan{span: span, since: now}
+	t.startSpans[id] = startSpan{span: span, since: now}
 	c.log.Info().Str("job", id).Str("account", start.Job.Account).Uint64("attempt", attempt).
-		Strs("workers", start.Placement).Bool("borrowed", start.Borrowed).Msg("attempt starts")
+		Strs("workers", start.Placement).Bool("borrowed", start.Borrowed).Msg("attempt started")
 	c.stepGang(g, now)
 }
 
-// snapshot queues a snapshot when one is due.
+// snapshot queues a snapshot of the job stream if one is due.
 func (c *Control) snapshot(now time.Time) {
-	due := c.fold.SinceSnapshot() >= c.SnapshotRecords || (!c.fold.Complete() && !c.tenure.snapshots)
-	if c.fold.Next() > 0 && now.Sub(c.snapshotAt) >= snapshotInterval {
+	due := c.fold.SinceSnapshot() >= c.SnapshotRecords || (!c.fold.Complete() && !c.tenure.snapshotQueued)
+	if c.fold.Next() > 0 && now.Sub(c.lastSnapshotAt) >= snapshotInterval {
 		due = true
 	}
-	if !due || !c.readTail || !c.logUp() || c.fold.Stopped() || now.Sub(c.snapshotAt) < time.Second {
+	if !due || !c.caughtUp || !c.logAvailable() || c.fold.Stopped() || now.Sub(c.lastSnapshotAt) < time.Second {
 		return
 	}
-	c.snapshotAt = now
-	c.tenure.snapshots = true
+	c.lastSnapshotAt = now
+	c.tenure.snapshotQueued = true
 	c.appender.add(jobs.Record{Kind: jobs.RecordSnapshot, Snapshot: c.fold.Snapshot()})
 }
