--- a/control/adopt.go
+++ b/control/adopt.go
@@ -145,7 +145,7 @@
 		return
 	}
 	if e.Job.RunOnce && e.Intent != nil && !c.withoutIntentCheck && !c.ownIntent(e) {
-		c.endJob(e.Job, e.Intent.Attempt, jobs.StateUnknown, "may have run: its intent was recorded, but no worker has its tasks")
+		c.endJob(e.Job, e.Intent.Attempt, jobs.StateUnknown, "it may have run: its start was recorded and no worker has it")
 		return
 	}
 	if err := t.planner.Submit(e.Job, now); err != nil {
--- a/control/stream.go
+++ b/control/stream.go
@@ -107,7 +107,7 @@
 	t.planner.Cancel(id, now)
 	t.planDue = true
 	if g != nil {
-		g.Stop("another scheduler recorded the end of the job", 0)
+		g.Stop("the job has ended", 0)
 		c.stepGang(g, now)
 	}
 }
--- a/gang/step.go
+++ b/gang/step.go
@@ -92,7 +92,7 @@
 	rejectedStart := op == infra.OpStart && !m.resident() && g.phase == PhaseStarting
 	if rejectedReserve || rejectedStart {
 		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Workers: []string{m.worker},
-			Detail: "worker " + m.worker + " rejected command " + string(op) + ": " + reason})
+			Detail: "worker " + m.worker + " refused to " + string(op) + ": " + reason})
 	}
 }
 
@@ -112,7 +112,7 @@
 // IntentLost records that the attempt cannot win the intent, so it must not be released.
 func (g *Gang) IntentLost() {
 	if !g.released && !g.stopping {
-		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the intent of another attempt was recorded first"})
+		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "another scheduler recorded its intent first"})
 	}
 }
 
@@ -170,7 +170,7 @@
 		if g.intentWon {
 			g.enterPhase(PhaseReleasing, ReleaseBound, now)
 		} else if !g.checkLoss() && expired {
-			g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "intent not recorded in time"})
+			g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the intent was not recorded in time"})
 		}
 	case PhaseReleasing:
 		g.advanceReleasing(expired, now)
@@ -189,7 +189,7 @@
 	}
 	lost := func(m *member) bool { return m.inactive() && m.state != stateNone && m.state != infra.TaskDone }
 	if g.any(lost) || expired {
-		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "members not reserved in time",
+		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "not reserved in time",
 			Workers: g.workersOf(func(m *member) bool { return !reserved(m) })})
 	}
 }
@@ -207,7 +207,7 @@
 		return
 	}
 	if expired {
-		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "members not resident in time",
+		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "not resident in time",
 			Workers: g.workersOf(func(m *member) bool { return !m.resident() })})
 	}
 }
@@ -237,7 +237,7 @@
 		return
 	}
 	if g.any(func(m *member) bool { return m.state == infra.TaskReserved }) {
-		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the previous scheduler stopped before all members were started"})
+		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the previous scheduler stopped before the start"})
 		return
 	}
 	if g.any(func(m *member) bool { return m.state == stateUnseen }) ||
@@ -245,7 +245,7 @@
 		return
 	}
 	if g.job.RunOnce && !g.intentWon && !g.released {
-		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the previous scheduler stopped before it released the members"})
+		g.abort(scheduler.Result{Kind: scheduler.ResultNotStarted, Detail: "the previous scheduler stopped before the release"})
 		return
 	}
 	g.enterPhase(PhaseReleasing, ReleaseBound, now)
--- a/jobs/records.go
+++ b/jobs/records.go
@@ -54,11 +54,12 @@
 // Ended records the end of an attempt. A final state ends the job. StateWaiting records a stop after a checkpoint: the job
 // continues from Checkpoints, for which a run-once job needs a new intent.
 type Ended struct {
-	Job     string    `cbor:"job"`
-	Attempt uint64    `cbor:"attempt"`
-	State   State     `cbor:"state"`
-	Detail  string    `cbor:"detail,omitempty"`
-	At      time.Time `cbor:"at"`
+	Job     string `cbor:"job"`
+	Attempt uint64 `cbor:"attempt"`
+	State   State  `cbor:"state"`
+	// Detail says why the attempt ended. It is stored in the job stream, so the wording of its texts stays stable.
+	Detail string    `cbor:"detail,omitempty"`
+	At     time.Time `cbor:"at"`
 	// Checkpoints holds the checkpoint of each member; empty if the attempt was not checkpointed.
 	Checkpoints []string `cbor:"checkpoints,omitempty"`
 }
