--- a/processtest/faults_test.go
+++ b/processtest/faults_test.go
@@ -157,7 +157,7 @@
 		}
 		return nil
 	}
-	var reply standin.EndpointReply
+	var reply standin.EndpointResponse
 	if err := json.Unmarshal([]byte(e.response.Body), &reply); err != nil {
 		return fmt.Errorf("short response %q: %w", e.response.Body, err)
 	}
--- a/standin/clients_test.go
+++ b/standin/clients_test.go
@@ -8,8 +8,9 @@
 	"github.com/redwingthread/redwingthread/infra"
 )
 
-// TestPlatformClients guards against stand-ins that speak another contract than the program's own clients.
-func TestPlatformClients(t *testing.T) {
+// TestPlatformClientsMatchStandIns guards against stand-ins whose HTTP contract differs from that of the clients in
+// package infra, which would make trials meaningless.
+func TestPlatformClientsMatchStandIns(t *testing.T) {
 	set := startSet(t)
 	ctx := context.Background()
 	log, err := infra.NewLogClient("http://" + set.Address("log"))
@@ -29,7 +30,7 @@
 	}
 	set.Log.SetFaults(LogFaults{LoseResponses: 1})
 	if _, err := log.Append(ctx, infra.ConfigStream, [][]byte{[]byte("c")}); err == nil {
-		t.Error("lost response arrived")
+		t.Error("append succeeded although its response was lost")
 	}
 	if read, err := log.Read(ctx, infra.ConfigStream, 0, 10, 0); err != nil || read.Next != 3 {
 		t.Errorf("after the lost response: %+v, error %v", read, err)
--- a/standin/control.go
+++ b/standin/control.go
@@ -8,8 +8,8 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// FaultsRequest is the body of POST /v1/faults on the control service. It replaces the faults of one stand-in; the
-// field of the stand-in's kind is set, and an empty object ends all its faults.
+// FaultsRequest is the body of POST /v1/faults on the control service. It replaces the faults of one stand-in. The
+// field for the kind of the target must be set; an empty object clears all its faults.
 type FaultsRequest struct {
 	// Target is "log", "vm_list", or the id of a gate, worker or endpoint.
 	Target   string          `json:"target"`
@@ -20,14 +20,14 @@
 	Endpoint *EndpointFaults `json:"endpoint,omitempty"`
 }
 
-// RunsResponse is the answer to GET /v1/runs on the control service.
+// RunsResponse is the body of the response to GET /v1/runs on the control service.
 type RunsResponse struct {
 	Requests []RequestRun `json:"requests"`
 	Tasks    []TaskRun    `json:"tasks"`
 }
 
-// controlHandler returns the control service: POST /v1/faults, POST /v1/vms, GET /v1/runs, GET /v1/runs.txt,
-// GET /v1/endpoints and GET /v1/addresses.
+// controlHandler returns the handler of the control service: POST /v1/faults, POST /v1/vms, GET /v1/runs, GET
+// /v1/runs.txt, GET /v1/endpoints and GET /v1/addresses.
 func (s *Set) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/faults", s.serveFaults)
@@ -42,12 +42,12 @@
 		writeJSON(w, http.StatusOK, s.addresses)
 	})
 	if s.VMList != nil {
-		mux.HandleFunc("POST /v1/vms", s.VMList.serveChange)
+		mux.HandleFunc("POST /v1/vms", s.VMList.serveVMChange)
 	}
 	return mux
 }
 
-// serveRunsText answers with one line for each counter, for scripts without a JSON parser: "request METHOD PATH COUNT" and
+// serveRunsText writes one line for each counter, for scripts without a JSON parser: "request METHOD PATH COUNT" and
 // "task JOB MEMBER COUNT".
 func (s *Set) serveRunsText(w http.ResponseWriter, _ *http.Request) {
 	runs := s.Runs()
@@ -72,7 +72,8 @@
 	writeJSON(w, http.StatusOK, request)
 }
 
-// SetFaults replaces the faults of one stand-in.
+// SetFaults replaces the faults of one stand-in. It returns an error of kind errkind.BadInput if the target does not
+// run or the field for its kind is not set.
 func (s *Set) SetFaults(request FaultsRequest) error {
 	gate, worker, endpoint := s.Gates[request.Target], s.Workers[request.Target], s.Endpoints[request.Target]
 	switch {
@@ -88,12 +89,12 @@
 		endpoint.SetFaults(*request.Endpoint)
 	default:
 		return errkind.New(errkind.BadInput, "name a running stand-in and set the field of its kind",
-			"faults for target %q", request.Target)
+			"fault target %q is not running, or the field of its kind is missing", request.Target)
 	}
 	return nil
 }
 
-// Runs returns the run counters of all endpoints and workers.
+// Runs returns the run counters of all endpoints and workers, sorted by id.
 func (s *Set) Runs() RunsResponse {
 	response := RunsResponse{Requests: []RequestRun{}, Tasks: []TaskRun{}}
 	for _, id := range sortedKeys(s.Endpoints) {
@@ -105,7 +106,7 @@
 	return response
 }
 
-// EndpointStats returns the counters of all endpoints by id.
+// EndpointStats returns the counters of all endpoints, sorted by id.
 func (s *Set) EndpointStats() []EndpointStats {
 	stats := []EndpointStats{}
 	for _, id := range sortedKeys(s.Endpoints) {
--- a/standin/endpoint.go
+++ b/standin/endpoint.go
@@ -27,40 +27,40 @@
 	headerState          = "Redwing-Endpoint-State"
 )
 
-// EndpointOptions holds the properties of an endpoint.
+// EndpointOptions holds the limits and the speed of an endpoint.
 type EndpointOptions struct {
 	ID string
-	// Slots is the number of requests that run at once; 0 for 8. More are refused as not run.
+	// Slots is the maximum number of concurrent requests; 0 means 8. Further requests are refused as not run.
 	Slots int
-	// MaxConnections is the number of open connections; 0 for 64. More are closed at once.
+	// MaxConnections is the maximum number of open connections; 0 means 64. Further connections are closed at once.
 	MaxConnections int
-	// Work is the time that a request runs. The query parameter work_ms overrides it.
-	Work time.Duration
+	// WorkTime is the processing time of a request. The query parameter work_ms overrides it.
+	WorkTime time.Duration
 }
 
-// EndpointFaults holds the faults of an endpoint. The counts apply to the next requests, one fault to each.
+// EndpointFaults holds the faults of an endpoint. The counts apply to the upcoming requests, at most one fault to each.
 type EndpointFaults struct {
 	connectionFaults
 	// Leaving reports the endpoint as leaving in every response; it still runs requests.
 	Leaving bool `json:"leaving,omitempty"`
-	// FailEvery answers every n-th request with status 500 after it ran; 0 for none.
+	// FailEvery gives every n-th request status 500 after it ran; 0 for none.
 	FailEvery int `json:"fail_every,omitempty"`
 	// Refuse is the number of requests refused as not run.
 	Refuse int `json:"refuse,omitempty"`
-	// Truncate is the number of responses cut off after half of the body.
+	// Truncate is the number of responses that are aborted after half of the body.
 	Truncate int `json:"truncate,omitempty"`
-	// Late is the number of responses sent LateMS milliseconds after the work.
+	// Late is the number of responses that are sent LateMS milliseconds after the request ran.
 	Late   int   `json:"late,omitempty"`
 	LateMS int64 `json:"late_ms,omitempty"`
-	// WrongID is the number of responses that carry the id and the body of the response before.
+	// WrongID is the number of responses that carry the request id and the body of the previous request.
 	WrongID int `json:"wrong_id,omitempty"`
-	// Lose is the number of requests that run and whose response is lost with the connection.
+	// Lose is the number of requests that run but whose connection is closed without a response.
 	Lose int `json:"lose,omitempty"`
-	// Restart changes the incarnation once.
+	// Restart simulates one restart: the incarnation changes.
 	Restart bool `json:"restart,omitempty"`
 }
 
-// RequestRun counts the runs of one request on one endpoint.
+// RequestRun is the number of times that one endpoint ran one request.
 type RequestRun struct {
 	Endpoint string `json:"endpoint"`
 	Method   string `json:"method"`
@@ -71,12 +71,12 @@
 	Count int    `json:"count"`
 }
 
-// EndpointReply is the JSON body of an endpoint's responses.
-type EndpointReply struct {
+// EndpointResponse is the JSON body of an endpoint's responses.
+type EndpointResponse struct {
 	Endpoint string `json:"endpoint"`
 	Method   string `json:"method"`
 	Path     string `json:"path"`
-	// Run is the count of the runs of this request on this endpoint.
+	// Run is the number of times that this endpoint has run this request, including this time.
 	Run int `json:"run"`
 	// Body is the request body.
 	Body string `json:"body"`
@@ -88,20 +88,20 @@
 
 	mu sync.Mutex
 	// The fields below are guarded by mu.
-	faults      EndpointFaults
-	incarnation int
-	inflight    int
-	requests    int
-	previousID  string
-	previous    EndpointReply
-	runs        map[RequestRun]int
-	connections map[net.Conn]bool
-	stats       EndpointStats
-	// leavingSince is when the endpoint turned leaving; zero if it is not.
+	faults           EndpointFaults
+	incarnation      int
+	inflight         int
+	requests         int
+	previousID       string
+	previousResponse EndpointResponse
+	runs             map[RequestRun]int
+	connections      map[net.Conn]bool
+	stats            EndpointStats
+	// leavingSince is when the endpoint began to report that it is leaving; zero if it does not.
 	leavingSince time.Time
 }
 
-// NewEndpoint returns an endpoint that ran no request.
+// NewEndpoint returns an endpoint without open connections and counters.
 func NewEndpoint(options EndpointOptions) *Endpoint {
 	if options.Slots == 0 {
 		options.Slots = 8
@@ -118,7 +118,7 @@
 	}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults; Restart takes effect at once.
 func (e *Endpoint) SetFaults(f EndpointFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -134,7 +134,7 @@
 	e.faults = f
 }
 
-// Runs returns the run counters by path, then key.
+// Runs returns the run counters, sorted by path and key.
 func (e *Endpoint) Runs() []RequestRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -150,10 +150,10 @@
 	return runs
 }
 
-// EndpointStats holds counters of an endpoint that trials check against the contract.
+// EndpointStats holds counters of an endpoint, with which trials check that gateways keep the contract.
 type EndpointStats struct {
 	Endpoint string `json:"endpoint"`
-	// MaxConnections is the largest number of connections open at once, refused ones left out.
+	// MaxConnections is the largest number of connections that were open at once, without refused ones.
 	MaxConnections int `json:"max_connections"`
 	// RefusedConnections counts the connections above the limit.
 	RefusedConnections int `json:"refused_connections"`
@@ -161,7 +161,8 @@
 	MaxInflight int `json:"max_inflight"`
 	// RefusedRequests counts the requests that found no slot.
 	RefusedRequests int `json:"refused_requests"`
-	// LastWorkAfterLeavingMS is the time from turning leaving to the last request that ran after it; 0 for none.
+	// LastWorkAfterLeavingMS is the time from the start of leaving to the last request that ran after it, in
+	// milliseconds; 0 if none did.
 	LastWorkAfterLeavingMS int64 `json:"last_work_after_leaving_ms"`
 }
 
@@ -172,7 +173,7 @@
 	return e.stats
 }
 
-// ConnState enforces the connection limit; it is the hook of an http.Server.
+// ConnState enforces the connection limit. It must be set as the ConnState hook of the http.Server.
 func (e *Endpoint) ConnState(c net.Conn, state http.ConnState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -190,23 +191,23 @@
 	}
 }
 
-// Handler returns the HTTP service.
+// Handler returns the HTTP handler of the endpoint.
 func (e *Endpoint) Handler() http.Handler { return http.HandlerFunc(e.serve) }
 
-// plan is what happens to one request, decided when it arrives.
-type plan struct {
+// requestPlan describes how one request is processed. It is decided when the request arrives.
+type requestPlan struct {
 	EndpointFaults
 	refused     bool
 	fail        bool
 	responseID  string
 	incarnation string
-	reply       EndpointReply
+	response    EndpointResponse
 }
 
 func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	if err != nil {
-		// The request did not arrive whole, so it must not run.
+		// The request body is incomplete, so the request must not run.
 		dropConnection()
 	}
 	e.mu.Lock()
@@ -226,7 +227,7 @@
 		e.refuse(w)
 		return
 	}
-	e.work(r)
+	e.simulateWork(r)
 	e.mu.Lock()
 	e.inflight--
 	inflight := e.inflight
@@ -235,18 +236,18 @@
 	e.respond(w, p)
 }
 
-// admit takes a slot, counts the run and takes the faults of this request.
-func (e *Endpoint) admit(r *http.Request, body []byte) plan {
+// admit occupies a slot, counts the run and assigns faults to the request, or decides to refuse it.
+func (e *Endpoint) admit(r *http.Request, body []byte) requestPlan {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	id := r.Header.Get(headerRequestID)
-	p := plan{responseID: id, incarnation: fmt.Sprintf("%s-%d", e.options.ID, e.incarnation)}
+	p := requestPlan{responseID: id, incarnation: fmt.Sprintf("%s-%d", e.options.ID, e.incarnation)}
 	p.Leaving = e.faults.Leaving
 	full := e.inflight >= e.options.Slots
 	if full {
 		e.stats.RefusedRequests++
 	}
-	if full || take(&e.faults.Refuse) {
+	if full || consume(&e.faults.Refuse) {
 		p.refused = true
 		return p
 	}
@@ -256,27 +257,27 @@
 		e.stats.LastWorkAfterLeavingMS = time.Since(e.leavingSince).Milliseconds()
 	}
 	e.requests++
-	reply := EndpointReply{
-		Endpoint: e.options.ID, Method: r.Method, Path: r.URL.RequestURI(), Run: e.count(r), Body: string(body),
+	response := EndpointResponse{
+		Endpoint: e.options.ID, Method: r.Method, Path: r.URL.RequestURI(), Run: e.countRun(r), Body: string(body),
 	}
-	p.reply = reply
+	p.response = response
 	p.fail = e.faults.FailEvery > 0 && e.requests%e.faults.FailEvery == 0
 	switch {
-	case take(&e.faults.Lose):
+	case consume(&e.faults.Lose):
 		p.Lose = 1
-	case take(&e.faults.Truncate):
+	case consume(&e.faults.Truncate):
 		p.Truncate = 1
-	case take(&e.faults.Late):
+	case consume(&e.faults.Late):
 		p.LateMS = e.faults.LateMS
-	case take(&e.faults.WrongID):
-		p.responseID, p.reply = e.previousID, e.previous
+	case consume(&e.faults.WrongID):
+		p.responseID, p.response = e.previousID, e.previousResponse
 	}
-	e.previousID, e.previous = id, reply
+	e.previousID, e.previousResponse = id, response
 	return p
 }
 
-// take reports whether count is above 0 and lowers it.
-func take(count *int) bool {
+// consume decrements a positive count and reports whether it was positive.
+func consume(count *int) bool {
 	if *count <= 0 {
 		return false
 	}
@@ -284,8 +285,8 @@
 	return true
 }
 
-// count counts a run of the request. The caller holds mu.
-func (e *Endpoint) count(r *http.Request) int {
+// countRun counts a run of the request and returns its new count. The caller holds mu.
+func (e *Endpoint) countRun(r *http.Request) int {
 	key := r.Header.Get(headerIdempotencyKey)
 	if key == "" {
 		key = r.Header.Get(headerRequestID)
@@ -299,39 +300,40 @@
 	w.Header().Set(headerOutcome, "not_run")
 	w.Header().Set(headerInflight, strconv.Itoa(e.options.Slots))
 	body, _ := json.Marshal(errkind.As(errkind.New(errkind.Overloaded, "retry later", "endpoint has no free slot")))
-	writeWhole(w, http.StatusServiceUnavailable, body)
+	writeResponse(w, http.StatusServiceUnavailable, body)
 }
 
-// work runs the request. It goes on when the caller leaves, as a real service may.
-func (e *Endpoint) work(r *http.Request) {
-	length := e.options.Work
+// simulateWork waits for the processing time of the request. It continues if the client disconnects, as a real service
+// may.
+func (e *Endpoint) simulateWork(r *http.Request) {
+	duration := e.options.WorkTime
 	if ms, err := strconv.ParseInt(r.URL.Query().Get("work_ms"), 10, 64); err == nil && ms >= 0 {
-		length = milliseconds(min(ms, maxWaitMS))
+		duration = milliseconds(min(ms, maxWaitMS))
 	}
-	time.Sleep(length)
+	time.Sleep(duration)
 }
 
-func (e *Endpoint) respond(w http.ResponseWriter, p plan) {
+func (e *Endpoint) respond(w http.ResponseWriter, p requestPlan) {
 	if p.Lose > 0 {
 		dropConnection()
 	}
 	time.Sleep(milliseconds(p.LateMS))
 	if p.fail {
-		writeWhole(w, http.StatusInternalServerError, []byte(`{"error":"endpoint fails as asked"}`))
+		writeResponse(w, http.StatusInternalServerError, []byte(`{"error":"endpoint fails as asked"}`))
 		return
 	}
-	body, _ := json.Marshal(p.reply)
+	body, _ := json.Marshal(p.response)
 	if p.Truncate > 0 {
-		writeHead(w, http.StatusOK, body)
+		writeHeaders(w, http.StatusOK, body)
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
 		dropConnection()
 	}
-	writeWhole(w, http.StatusOK, body)
+	writeResponse(w, http.StatusOK, body)
 }
 
-// writeHead writes the headers that describe body.
-func writeHead(w http.ResponseWriter, status int, body []byte) {
+// writeHeaders writes the status and the headers that describe body.
+func writeHeaders(w http.ResponseWriter, status int, body []byte) {
 	digest := sha256.Sum256(body)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -339,7 +341,7 @@
 	w.WriteHeader(status)
 }
 
-func writeWhole(w http.ResponseWriter, status int, body []byte) {
-	writeHead(w, status, body)
+func writeResponse(w http.ResponseWriter, status int, body []byte) {
+	writeHeaders(w, status, body)
 	_, _ = io.Copy(w, bytes.NewReader(body))
 }
--- a/standin/gate.go
+++ b/standin/gate.go
@@ -10,8 +10,8 @@
 	connectionFaults
 }
 
-// Gate is one more address of a platform service. A failure domain whose processes use a gate of their own can be cut
-// off from the service without a fault of the others.
+// Gate serves a platform service at an additional address. A failure domain whose processes use their own gate can be
+// cut off from the service while the other failure domains still reach it.
 type Gate struct {
 	service http.Handler
 
@@ -20,7 +20,7 @@
 	faults GateFaults
 }
 
-// NewGate returns a gate to the service.
+// NewGate returns a gate that forwards to service.
 func NewGate(service http.Handler) *Gate { return &Gate{service: service} }
 
 // SetFaults replaces the faults.
@@ -30,7 +30,7 @@
 	g.faults = f
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. It applies the faults of the gate and then forwards the request.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.mu.Lock()
 	faults := g.faults
--- a/standin/log.go
+++ b/standin/log.go
@@ -14,24 +14,24 @@
 	"github.com/redwingthread/redwingthread/infra"
 )
 
-// LogOptions holds the properties of a log service. Zero values mean no bound.
+// LogOptions holds the limits of a log service. Zero values mean no limit.
 type LogOptions struct {
 	// RetentionRecords bounds the records kept for each stream.
 	RetentionRecords int
 	// RetentionAge bounds the age of records.
 	RetentionAge time.Duration
-	// AppendsPerSecond bounds the calls that append; more are answered with status 503.
+	// AppendsPerSecond bounds the rate of append requests; those above it get status 503.
 	AppendsPerSecond float64
 }
 
 // LogFaults holds the faults of a log service.
 type LogFaults struct {
 	connectionFaults
-	// LoseResponses is the number of next appends that take effect and whose response is lost.
+	// LoseResponses is the number of upcoming appends that take effect but whose response is lost.
 	LoseResponses int `json:"lose_responses,omitempty"`
 }
 
-// Log bounds of one call and of long polls.
+// Limits of single requests and of long polls.
 const (
 	maxRecordBytes = 1 << 20
 	maxReadRecords = 1000
@@ -84,7 +84,8 @@
 	l.faults = f
 }
 
-// Append appends records and returns the offset of the first.
+// Append appends records to the stream called name and returns the offset of the first one. Invalid input appends
+// nothing and gives an error of kind errkind.BadInput or errkind.TooLarge.
 func (l *Log) Append(name string, records [][]byte, now time.Time) (uint64, error) {
 	if err := checkAppend(name, records); err != nil {
 		return 0, err
@@ -92,7 +93,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	first := s.next()
+	first := s.nextOffset()
 	for _, data := range records {
 		s.records = append(s.records, storedRecord{data: data, at: now})
 	}
@@ -104,7 +105,7 @@
 
 func checkAppend(name string, records [][]byte) error {
 	if !streamName.MatchString(name) {
-		return errkind.New(errkind.BadInput, "use lower-case letters, digits, - and _", "stream name %q", name)
+		return errkind.New(errkind.BadInput, "use lower-case letters, digits, - and _", "invalid stream name %q", name)
 	}
 	if len(records) == 0 {
 		return errkind.New(errkind.BadInput, "send at least one record", "append without records")
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// Read returns up to limit retained records from the offset on, without waiting.
+// Read returns up to limit retained records with offsets of at least from, without waiting.
 func (l *Log) Read(name string, from uint64, limit int, now time.Time) infra.ReadResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,19 +127,19 @@
 	return response
 }
 
-// read returns the response and a channel that is closed at the next append. The caller holds mu.
+// read is Read without locking. It also returns a channel that is closed at the next append. The caller holds mu.
 func (l *Log) read(name string, from uint64, limit int, now time.Time) (infra.ReadResponse, <-chan struct{}) {
 	s := l.stream(name)
 	l.expire(s, now)
-	response := infra.ReadResponse{Oldest: s.oldest, Next: s.next(), Records: []infra.Record{}}
-	for offset := max(from, s.oldest); offset < s.next() && len(response.Records) < limit; offset++ {
+	response := infra.ReadResponse{Oldest: s.oldest, Next: s.nextOffset(), Records: []infra.Record{}}
+	for offset := max(from, s.oldest); offset < s.nextOffset() && len(response.Records) < limit; offset++ {
 		data := s.records[offset-s.oldest].data
 		response.Records = append(response.Records, infra.Record{Offset: offset, Data: data})
 	}
 	return response, s.changed
 }
 
-// stream returns the stream of the name, empty if it is new. The caller holds mu.
+// stream returns the stream called name and creates it if it does not exist. The caller holds mu.
 func (l *Log) stream(name string) *stream {
 	s, ok := l.streams[name]
 	if !ok {
@@ -148,9 +149,9 @@
 	return s
 }
 
-func (s *stream) next() uint64 { return s.oldest + uint64(len(s.records)) }
+func (s *stream) nextOffset() uint64 { return s.oldest + uint64(len(s.records)) }
 
-// expire removes the records past retention. The caller holds mu.
+// expire removes the records that exceed the retention limits. The caller holds mu.
 func (l *Log) expire(s *stream, now time.Time) {
 	drop := 0
 	if l.options.RetentionRecords > 0 {
@@ -167,7 +168,7 @@
 	}
 }
 
-// Handler returns the HTTP service.
+// Handler returns the HTTP handler of the log service.
 func (l *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/streams/{stream}/records", l.serveAppend)
@@ -193,7 +194,7 @@
 		writeError(w, err)
 		return
 	}
-	if l.takeLostResponse() {
+	if l.consumeLostResponse() {
 		dropConnection()
 	}
 	writeJSON(w, http.StatusOK, infra.AppendResponse{FirstOffset: first})
@@ -204,28 +205,28 @@
 		return
 	}
 	query := r.URL.Query()
-	from, err := number(query.Get("from"), 0)
+	from, err := parseNumber(query.Get("from"), 0)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	limit, err := number(query.Get("limit"), maxReadRecords)
+	limit, err := parseNumber(query.Get("limit"), maxReadRecords)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	waitMS, err := number(query.Get("wait_ms"), 0)
+	waitMS, err := parseNumber(query.Get("wait_ms"), 0)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(min(waitMS, maxWaitMS))*time.Millisecond)
 	defer cancel()
-	writeJSON(w, http.StatusOK, l.wait(ctx, r.PathValue("stream"), from, int(min(limit, maxReadRecords))))
+	writeJSON(w, http.StatusOK, l.longPoll(ctx, r.PathValue("stream"), from, int(min(limit, maxReadRecords))))
 }
 
-// wait reads and, while there is no record, waits for one until ctx ends.
-func (l *Log) wait(ctx context.Context, name string, from uint64, limit int) infra.ReadResponse {
+// longPoll reads records and, if there are none, waits for an append until ctx ends.
+func (l *Log) longPoll(ctx context.Context, name string, from uint64, limit int) infra.ReadResponse {
 	for {
 		l.mu.Lock()
 		response, changed := l.read(name, from, limit, time.Now())
@@ -247,7 +248,7 @@
 	return l.faults
 }
 
-func (l *Log) takeLostResponse() bool {
+func (l *Log) consumeLostResponse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.faults.LoseResponses == 0 {
@@ -257,11 +258,11 @@
 	return true
 }
 
-// number parses a query parameter; an empty one gives the default.
-func number(text string, otherwise uint64) (uint64, error) {
+// parseNumber parses a query parameter; an empty one gives defaultValue.
+func parseNumber(text string, defaultValue uint64) (uint64, error) {
 	if text == "" {
-		return otherwise, nil
+		return defaultValue, nil
 	}
 	n, err := strconv.ParseUint(text, 10, 63)
-	return n, errkind.Wrap(err, errkind.BadInput, "send a whole number", "query parameter %q", text)
+	return n, errkind.Wrap(err, errkind.BadInput, "send a whole number", "invalid query parameter %q", text)
 }
--- a/standin/services_test.go
+++ b/standin/services_test.go
@@ -48,7 +48,7 @@
 address = "127.0.0.1:0"
 `
 
-// startSet starts the stand-ins of settingsText.
+// startSet starts the stand-ins of settingsText and stops them at the end of the test.
 func startSet(t *testing.T) *Set {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "standin.toml")
@@ -71,8 +71,8 @@
 	return set
 }
 
-// exchange sends one request on a connection of its own and decodes the response into v.
-func exchange(t *testing.T, method, url string, body, v any) (int, error) {
+// sendJSON sends one request with a JSON body on a new connection and decodes the response body into v.
+func sendJSON(t *testing.T, method, url string, body, v any) (int, error) {
 	t.Helper()
 	raw, _ := json.Marshal(body)
 	request, err := http.NewRequest(method, url, bytes.NewReader(raw))
@@ -92,44 +92,46 @@
 	return response.StatusCode, json.Unmarshal(data, v)
 }
 
-// TestLogContract guards offsets, retention by count, long polls and the loss of a response after the append.
-func TestLogContract(t *testing.T) {
+// TestLogOffsetsRetentionAndLongPoll guards against wrong offsets, records kept beyond the retention by count, long
+// polls that miss an append, and an append that has no effect because its response is lost.
+func TestLogOffsetsRetentionAndLongPoll(t *testing.T) {
 	set := startSet(t)
 	url := "http://" + set.Address("log") + "/v1/streams/config/records"
-	appended := make(chan error, 1)
+	pollDone := make(chan error, 1)
 	var polled infra.ReadResponse
 	go func() {
-		_, err := exchange(t, "GET", url+"?from=0&wait_ms=5000", nil, &polled)
-		appended <- err
+		_, err := sendJSON(t, "GET", url+"?from=0&wait_ms=5000", nil, &polled)
+		pollDone <- err
 	}()
 	var first infra.AppendResponse
 	records := infra.AppendRequest{Records: [][]byte{[]byte("a"), []byte("b")}}
-	if status, err := exchange(t, "POST", url, records, &first); status != 200 || err != nil || first.FirstOffset != 0 {
+	if status, err := sendJSON(t, "POST", url, records, &first); status != 200 || err != nil || first.FirstOffset != 0 {
 		t.Fatalf("got status %d, error %v, %+v", status, err, first)
 	}
-	if err := <-appended; err != nil || len(polled.Records) != 2 || string(polled.Records[1].Data) != "b" {
+	if err := <-pollDone; err != nil || len(polled.Records) != 2 || string(polled.Records[1].Data) != "b" {
 		t.Fatalf("long poll: error %v, %+v", err, polled)
 	}
 	set.Log.SetFaults(LogFaults{LoseResponses: 1})
-	if status, err := exchange(t, "POST", url, records, &first); err == nil {
-		t.Fatalf("lost response has status %d", status)
+	if status, err := sendJSON(t, "POST", url, records, &first); err == nil {
+		t.Fatalf("append whose response must be lost returned status %d", status)
 	}
 	var read infra.ReadResponse
-	if _, err := exchange(t, "GET", url+"?from=0&limit=2", nil, &read); err != nil {
+	if _, err := sendJSON(t, "GET", url+"?from=0&limit=2", nil, &read); err != nil {
 		t.Fatal(err)
 	}
 	if read.Oldest != 1 || read.Next != 4 || len(read.Records) != 2 || read.Records[0].Offset != 1 {
 		t.Fatalf("after retention: %+v", read)
 	}
 	set.Log.SetFaults(LogFaults{connectionFaults: connectionFaults{Down: true}})
-	var refusal errkind.Error
-	if status, _ := exchange(t, "GET", url, nil, &refusal); status != 503 || refusal.Kind != errkind.Unavailable {
-		t.Fatalf("outage: status %d, %+v", status, refusal)
+	var failure errkind.Error
+	if status, _ := sendJSON(t, "GET", url, nil, &failure); status != 503 || failure.Kind != errkind.Unavailable {
+		t.Fatalf("outage: status %d, %+v", status, failure)
 	}
 }
 
-// TestGateCutsOff guards against a partition of one failure domain that the others see too.
-func TestGateCutsOff(t *testing.T) {
+// TestGateFaultDoesNotAffectOtherAddresses guards against a simulated partition of one failure domain that also cuts
+// off the others.
+func TestGateFaultDoesNotAffectOtherAddresses(t *testing.T) {
 	set := startSet(t)
 	faults := FaultsRequest{Target: "log-fd-a", Gate: &GateFaults{connectionFaults{Down: true}}}
 	if err := set.SetFaults(faults); err != nil {
@@ -137,14 +139,15 @@
 	}
 	for name, want := range map[string]int{"log-fd-a": 503, "log": 200} {
 		var read any
-		status, err := exchange(t, "GET", "http://"+set.Address(name)+"/v1/streams/config/records", nil, &read)
+		status, err := sendJSON(t, "GET", "http://"+set.Address(name)+"/v1/streams/config/records", nil, &read)
 		if status != want || err != nil {
 			t.Errorf("%s: got status %d, error %v", name, status, err)
 		}
 	}
 }
 
-// TestLogRetentionByAge guards against records that outlive the retention while nothing is appended.
+// TestLogRetentionByAge guards against records that outlive the retention age while nothing is appended, and against
+// invalid appends that are accepted.
 func TestLogRetentionByAge(t *testing.T) {
 	l := NewLog(LogOptions{RetentionAge: time.Minute})
 	now := time.Unix(1_000, 0)
@@ -163,7 +166,8 @@
 	}
 }
 
-// TestVMListLagsAndFlaps guards the lag and the return to older states that membership must withstand.
+// TestVMListLagsAndFlaps guards against a list that shows changes too early or never returns to an older state: trials
+// need both to check that membership tolerates them.
 func TestVMListLagsAndFlaps(t *testing.T) {
 	vm := infra.VM{ID: "vm-1", State: infra.VMLive}
 	l := NewVMList([]infra.VM{vm}, 10*time.Second)
@@ -189,8 +193,8 @@
 	}
 }
 
-// call sends a request to the endpoint at address and returns the response with its body.
-func call(address, id, path string) (*http.Response, []byte, error) {
+// sendToEndpoint sends a request to the endpoint at address and returns the response and its body.
+func sendToEndpoint(address, id, path string) (*http.Response, []byte, error) {
 	request, err := http.NewRequest("POST", "http://"+address+path, strings.NewReader("order"))
 	if err != nil {
 		return nil, nil, err
@@ -206,12 +210,13 @@
 	return response, body, err
 }
 
-// TestEndpointContract guards the headers that gateways check, and the visibility of a double run.
-func TestEndpointContract(t *testing.T) {
+// TestEndpointHeadersAndRunCounts guards against missing or wrong headers that gateways check, and against a request
+// that runs twice without being counted twice.
+func TestEndpointHeadersAndRunCounts(t *testing.T) {
 	set := startSet(t)
 	address := set.Address("e-1")
 	for run := 1; run <= 2; run++ {
-		response, body, err := call(address, "r-1", "/a?x=1")
+		response, body, err := sendToEndpoint(address, "r-1", "/a?x=1")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -221,9 +226,9 @@
 			h.Get("Content-Digest") != "sha-256=:"+base64.StdEncoding.EncodeToString(digest[:])+":" {
 			t.Fatalf("got headers %v", h)
 		}
-		var reply EndpointReply
-		if err := json.Unmarshal(body, &reply); err != nil || reply.Run != run || reply.Body != "order" {
-			t.Fatalf("got error %v, reply %+v", err, reply)
+		var decoded EndpointResponse
+		if err := json.Unmarshal(body, &decoded); err != nil || decoded.Run != run || decoded.Body != "order" {
+			t.Fatalf("got error %v, response body %+v", err, decoded)
 		}
 	}
 	runs := set.Runs().Requests
@@ -232,28 +237,29 @@
 	}
 }
 
-// TestEndpointSlots guards against a ninth request that runs, and against a refusal that counts as a run.
-func TestEndpointSlots(t *testing.T) {
+// TestEndpointRefusesRequestsAboveSlots guards against a ninth concurrent request that runs on 8 slots, and against a
+// refused request that is counted as a run.
+func TestEndpointRefusesRequestsAboveSlots(t *testing.T) {
 	set := startSet(t)
-	var wait sync.WaitGroup
+	var group sync.WaitGroup
 	refused := make(chan string, 20)
 	for i := range 20 {
-		wait.Go(func() {
-			response, _, err := call(set.Address("e-1"), fmt.Sprint(i), "/?work_ms=500")
+		group.Go(func() {
+			response, _, err := sendToEndpoint(set.Address("e-1"), fmt.Sprint(i), "/?work_ms=500")
 			if err == nil && response.StatusCode == 503 && response.Header.Get(headerOutcome) == "not_run" {
 				refused <- fmt.Sprint(i)
 			}
 		})
 	}
-	wait.Wait()
+	group.Wait()
 	stats, ran := set.EndpointStats()[0], len(set.Runs().Requests)
 	if stats.MaxInflight != 8 || ran+len(refused) != 20 || len(refused) == 0 || stats.RefusedRequests != len(refused) {
-		t.Fatalf("%d refused, %d ran, counters %+v", len(refused), ran, stats)
+		t.Fatalf("%d requests refused, %d ran, counters %+v", len(refused), ran, stats)
 	}
 }
 
-// TestEndpointConnections guards the limit on open connections.
-func TestEndpointConnections(t *testing.T) {
+// TestEndpointLimitsConnections guards against more open connections than the limit of 64.
+func TestEndpointLimitsConnections(t *testing.T) {
 	set := startSet(t)
 	open := 0
 	for range 70 {
@@ -269,42 +275,43 @@
 		}
 	}
 	if open != 64 || set.Endpoints["e-1"].Stats().RefusedConnections != 6 {
-		t.Fatalf("%d connections served", open)
+		t.Fatalf("%d connections were served, want 64 and 6 refused", open)
 	}
 }
 
-// TestEndpointFaults guards the faults of one response, set through the control service.
+// TestEndpointFaults guards against faults that are set through the control service and do not change the next response
+// as specified.
 func TestEndpointFaults(t *testing.T) {
 	set := startSet(t)
 	address := set.Address("e-1")
 	inject := func(f EndpointFaults) {
 		t.Helper()
-		var answer any
+		var decoded any
 		body := FaultsRequest{Target: "e-1", Endpoint: &f}
-		status, err := exchange(t, "POST", "http://"+set.Address("control")+"/v1/faults", body, &answer)
+		status, err := sendJSON(t, "POST", "http://"+set.Address("control")+"/v1/faults", body, &decoded)
 		if status != 200 || err != nil {
 			t.Fatalf("got status %d, error %v", status, err)
 		}
 	}
 	inject(EndpointFaults{Truncate: 1})
-	if _, _, err := call(address, "r-1", "/"); err == nil {
-		t.Error("truncated response was read whole")
+	if _, _, err := sendToEndpoint(address, "r-1", "/"); err == nil {
+		t.Error("truncated response was read without an error")
 	}
 	inject(EndpointFaults{Lose: 1})
-	if _, _, err := call(address, "r-2", "/"); err == nil {
-		t.Error("lost response arrived")
+	if _, _, err := sendToEndpoint(address, "r-2", "/"); err == nil {
+		t.Error("request succeeded although its response was lost")
 	}
 	inject(EndpointFaults{WrongID: 1})
-	if r, _, err := call(address, "r-3", "/"); err != nil || r.Header.Get(headerRequestID) != "r-2" {
+	if r, _, err := sendToEndpoint(address, "r-3", "/"); err != nil || r.Header.Get(headerRequestID) != "r-2" {
 		t.Errorf("got error %v, response %+v", err, r)
 	}
 	inject(EndpointFaults{Refuse: 1, Leaving: true, Restart: true})
-	if r, _, err := call(address, "r-4", "/"); err != nil || r.Header.Get(headerOutcome) != "not_run" ||
+	if r, _, err := sendToEndpoint(address, "r-4", "/"); err != nil || r.Header.Get(headerOutcome) != "not_run" ||
 		r.Header.Get(headerState) != "leaving" || r.Header.Get(headerIncarnation) != "e-1-2" {
 		t.Errorf("got error %v, response %+v", err, r)
 	}
 	inject(EndpointFaults{FailEvery: 1})
-	if r, _, err := call(address, "r-5", "/"); err != nil || r.StatusCode != 500 {
+	if r, _, err := sendToEndpoint(address, "r-5", "/"); err != nil || r.StatusCode != 500 {
 		t.Errorf("got error %v, response %+v", err, r)
 	}
 	response, err := http.Get("http://" + set.Address("control") + "/v1/runs.txt")
@@ -318,16 +325,16 @@
 	if runs := set.Runs().Requests; len(runs) != 4 {
 		t.Errorf("got runs %+v", runs)
 	}
-	var refusal errkind.Error
+	var failure errkind.Error
 	unknown := FaultsRequest{Target: "e-9", Endpoint: &EndpointFaults{}}
-	status, err := exchange(t, "POST", "http://"+set.Address("control")+"/v1/faults", unknown, &refusal)
+	status, err := sendJSON(t, "POST", "http://"+set.Address("control")+"/v1/faults", unknown, &failure)
 	if status != 400 || err != nil {
 		t.Errorf("unknown target: status %d, error %v", status, err)
 	}
 }
 
-// TestWorkerLosesResponse guards that a command whose response is lost took effect.
-func TestWorkerLosesResponse(t *testing.T) {
+// TestCommandWithLostResponseTakesEffect guards against a command that has no effect because its response is lost.
+func TestCommandWithLostResponseTakesEffect(t *testing.T) {
 	set := startSet(t)
 	set.Workers["w-a-2"].SetFaults(WorkerFaults{LoseResponses: 1})
 	url := "http://" + set.Address("w-a-2")
@@ -335,15 +342,16 @@
 		{Op: infra.OpReserve, Attempt: attempt, TTLMS: 60_000},
 	}}
 	var response infra.CommandsResponse
-	if _, err := exchange(t, "POST", url+"/v1/commands", request, &response); err == nil {
-		t.Fatal("lost response arrived")
+	if _, err := sendJSON(t, "POST", url+"/v1/commands", request, &response); err == nil {
+		t.Fatal("commands request succeeded although its response was lost")
 	}
 	var inventory infra.Inventory
-	if _, err := exchange(t, "GET", url+"/v1/inventory", nil, &inventory); err != nil || len(inventory.Tasks) != 1 {
+	if _, err := sendJSON(t, "GET", url+"/v1/inventory", nil, &inventory); err != nil || len(inventory.Tasks) != 1 {
 		t.Fatalf("got error %v, inventory %+v", err, inventory)
 	}
 	var list infra.VMListResponse
-	if _, err := exchange(t, "GET", "http://"+set.Address("vm_list")+"/v1/vms", nil, &list); err != nil || len(list.VMs) != 4 {
+	if _, err := sendJSON(t, "GET", "http://"+set.Address("vm_list")+"/v1/vms", nil, &list); err != nil ||
+		len(list.VMs) != 4 {
 		t.Fatalf("got error %v, list %+v", err, list)
 	}
 }
--- a/standin/set.go
+++ b/standin/set.go
@@ -26,10 +26,11 @@
 	addresses map[string]string
 }
 
-// readHeaderTimeout bounds the time for the headers of a call.
+// readHeaderTimeout bounds the time for reading the headers of a request.
 const readHeaderTimeout = 10 * time.Second
 
-// Start starts the stand-ins of s. Close ends them.
+// Start starts the stand-ins that s describes. Close stops them. The error is of kind errkind.BadInput for inconsistent
+// settings and errkind.Unavailable for an address that cannot be listened on.
 func Start(s Settings) (*Set, error) {
 	set := &Set{
 		Gates:     make(map[string]*Gate),
@@ -67,7 +68,7 @@
 		}
 	}
 	for _, w := range settings.Workers {
-		for _, p := range places(w.ID, w.Address, w.Count) {
+		for _, p := range instances(w.ID, w.Address, w.Count) {
 			worker := NewWorker(w.options(p.id))
 			s.Workers[p.id] = worker
 			if err := s.serve(p.id, p.address, worker.Handler(), nil); err != nil {
@@ -76,7 +77,7 @@
 		}
 	}
 	for _, e := range settings.Endpoints {
-		for _, p := range places(e.ID, e.Address, e.Count) {
+		for _, p := range instances(e.ID, e.Address, e.Count) {
 			endpoint := NewEndpoint(e.options(p.id))
 			s.Endpoints[p.id] = endpoint
 			if err := s.serve(p.id, p.address, endpoint.Handler(), endpoint.ConnState); err != nil {
@@ -87,7 +88,7 @@
 	return s.serve("control", settings.Control, s.controlHandler(), nil)
 }
 
-// startGate starts a gate to a service that runs.
+// startGate starts a gate in front of the running log or VM list.
 func (s *Set) startGate(g GateSettings) error {
 	var service http.Handler
 	switch {
@@ -96,24 +97,25 @@
 	case g.Service == "vm_list" && s.VMList != nil:
 		service = s.VMList.Handler()
 	default:
-		return errkind.New(errkind.BadInput, "give the service an address", "gate %q has no service", g.ID)
+		return errkind.New(errkind.BadInput, "give the service an address",
+			"gate %q leads to a service that is not running", g.ID)
 	}
 	gate := NewGate(service)
 	s.Gates[g.ID] = gate
 	return s.serve(g.ID, g.Address, gate, nil)
 }
 
-// serve listens at address and serves the handler under the name.
-func (s *Set) serve(name, address string, handler http.Handler, state func(net.Conn, http.ConnState)) error {
+// serve listens on address and serves the handler in the background. The stand-in is registered under name.
+func (s *Set) serve(name, address string, handler http.Handler, connState func(net.Conn, http.ConnState)) error {
 	if _, ok := s.addresses[name]; ok {
 		return errkind.New(errkind.BadInput, "give each stand-in its own id", "two stand-ins have the id %q", name)
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return errkind.Wrap(err, errkind.Unavailable, "use a free loopback port", "listener of %s", name)
+		return errkind.Wrap(err, errkind.Unavailable, "use a free loopback port", "listen for stand-in %s", name)
 	}
 	server := &http.Server{
-		Handler: handler, ConnState: state, ReadHeaderTimeout: readHeaderTimeout, ErrorLog: log.New(discard{}, "", 0),
+		Handler: handler, ConnState: connState, ReadHeaderTimeout: readHeaderTimeout, ErrorLog: log.New(discard{}, "", 0),
 	}
 	s.servers = append(s.servers, server)
 	s.addresses[name] = listener.Addr().String()
@@ -125,18 +127,20 @@
 	return nil
 }
 
-// discard drops the messages of http.Server about connections that stand-ins drop on purpose.
+// discard is a writer that drops its input. It keeps http.Server from logging the connections that stand-ins abort on
+// purpose.
 type discard struct{}
 
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
 
-// Address returns the address of a stand-in by name: "control", "log", "vm_list" or an id; empty if there is none.
+// Address returns the host:port of a stand-in by name: "control", "log", "vm_list" or an id. It is empty if no such
+// stand-in runs.
 func (s *Set) Address(name string) string { return s.addresses[name] }
 
-// Len returns the number of running services.
+// Len returns the number of running servers, including the control service.
 func (s *Set) Len() int { return len(s.servers) }
 
-// Close ends all services. Calls under way are cut off when ctx ends.
+// Close shuts all servers down. Requests in progress are aborted when ctx ends.
 func (s *Set) Close(ctx context.Context) {
 	for _, server := range s.servers {
 		if ctx.Err() != nil || server.Shutdown(ctx) != nil {
--- a/standin/options.go
+++ b/standin/settings.go
@@ -20,7 +20,8 @@
 	Endpoints []EndpointSettings `toml:"endpoints"`
 }
 
-// LogSettings holds the settings of the log service; without an address there is none.
+// LogSettings holds the settings of the log service. The service does not run if Address is empty. Zero values of the
+// other fields mean no limit.
 type LogSettings struct {
 	Address          string  `toml:"address"`
 	RetentionRecords int     `toml:"retention_records"`
@@ -28,30 +29,30 @@
 	AppendsPerSecond float64 `toml:"appends_per_second"`
 }
 
-// VMListSettings holds the settings of the VM list; without an address there is none. Workers and endpoints are in the
-// list too.
+// VMListSettings holds the settings of the VM list. The list does not run if Address is empty. It contains VMs and all
+// configured workers and endpoints.
 type VMListSettings struct {
 	Address string       `toml:"address"`
 	LagMS   int64        `toml:"lag_ms"`
 	VMs     []VMSettings `toml:"vms"`
 }
 
-// VMSettings is an entry VM in the list.
+// VMSettings holds the settings of an entry VM in the VM list.
 type VMSettings struct {
 	ID            string `toml:"id"`
 	FailureDomain string `toml:"failure_domain"`
 	Address       string `toml:"address"`
 }
 
-// GateSettings holds the settings of one more address of the log ("log") or VM list ("vm_list").
+// GateSettings holds the settings of a gate: an additional address of the service "log" or "vm_list".
 type GateSettings struct {
 	ID      string `toml:"id"`
 	Service string `toml:"service"`
 	Address string `toml:"address"`
 }
 
-// WorkerSettings holds the settings of one worker, or of Count workers alike: their ids get the suffixes -1, -2 and
-// so on, and their ports follow the one of Address.
+// WorkerSettings holds the settings of one worker, or of Count identical workers: their ids get the suffixes -1, -2 and
+// so on, and their ports are consecutive, starting with the port of Address.
 type WorkerSettings struct {
 	ID            string `toml:"id"`
 	Count         int    `toml:"count"`
@@ -64,7 +65,7 @@
 	CheckpointMS  int64  `toml:"checkpoint_ms"`
 }
 
-// EndpointSettings holds the settings of one endpoint, or of Count endpoints alike; see WorkerSettings.
+// EndpointSettings holds the settings of one endpoint, or of Count identical endpoints; see WorkerSettings.
 type EndpointSettings struct {
 	ID             string `toml:"id"`
 	Count          int    `toml:"count"`
@@ -78,73 +79,74 @@
 // LoadSettings reads a settings file of redwing-standin. Its errors are those of settings.LoadGateway.
 func LoadSettings(path string) (Settings, error) {
 	var s Settings
-	if err := settings.Load(path, &s, s.faults); err != nil {
+	if err := settings.Load(path, &s, s.problems); err != nil {
 		return Settings{}, err
 	}
 	return s, nil
 }
 
-// faults returns the faults of the values.
-func (s *Settings) faults() []settings.Fault {
-	var faults []settings.Fault
-	address := func(key, value string, optional bool) {
+// problems returns the invalid values.
+func (s *Settings) problems() []settings.Fault {
+	var problems []settings.Fault
+	checkAddress := func(key, value string, optional bool) {
 		if optional && value == "" {
 			return
 		}
 		if a, err := netip.ParseAddrPort(value); err != nil || !a.Addr().IsLoopback() {
-			faults = append(faults, settings.Fault{Key: key, Message: fmt.Sprintf("has the value %q", value),
+			problems = append(problems, settings.Fault{Key: key, Message: fmt.Sprintf("has the value %q", value),
 				Remedy: "write a loopback address, such as 127.0.0.1:18100"})
 		}
 	}
-	id := func(key, value string) {
+	checkID := func(key, value string) {
 		if value == "" {
-			faults = append(faults, settings.Fault{Key: key, Message: "is missing or empty", Remedy: "set it"})
+			problems = append(problems, settings.Fault{Key: key, Message: "is missing or empty", Remedy: "set it"})
 		}
 	}
-	address("control", s.Control, false)
-	address("log.address", s.Log.Address, true)
-	address("vm_list.address", s.VMList.Address, true)
+	checkAddress("control", s.Control, false)
+	checkAddress("log.address", s.Log.Address, true)
+	checkAddress("vm_list.address", s.VMList.Address, true)
 	for i, g := range s.Gates {
 		key := fmt.Sprintf("gates[%d]", i)
-		id(key+".id", g.ID)
-		address(key+".address", g.Address, false)
+		checkID(key+".id", g.ID)
+		checkAddress(key+".address", g.Address, false)
 		if g.Service != "log" && g.Service != "vm_list" {
-			faults = append(faults, settings.Fault{Key: key + ".service", Message: fmt.Sprintf("has the value %q", g.Service),
-				Remedy: "use log or vm_list"})
+			problems = append(problems, settings.Fault{Key: key + ".service",
+				Message: fmt.Sprintf("has the value %q", g.Service), Remedy: "use log or vm_list"})
 		}
 	}
 	for i, w := range s.Workers {
 		key := fmt.Sprintf("workers[%d]", i)
-		id(key+".id", w.ID)
-		address(key+".address", w.Address, false)
+		checkID(key+".id", w.ID)
+		checkAddress(key+".address", w.Address, false)
 	}
 	for i, e := range s.Endpoints {
 		key := fmt.Sprintf("endpoints[%d]", i)
-		id(key+".id", e.ID)
-		address(key+".address", e.Address, false)
+		checkID(key+".id", e.ID)
+		checkAddress(key+".address", e.Address, false)
 	}
-	return faults
+	return problems
 }
 
-// place is the id and address of one of several stand-ins alike.
-type place struct {
+// instance is the id and address of one of several identical stand-ins.
+type instance struct {
 	id      string
 	address string
 }
 
-// places returns the ids and addresses of count stand-ins; a count of 0 is one with the plain id.
-func places(id, address string, count int) []place {
+// instances returns the ids and addresses of count identical stand-ins. A count of 0 gives one stand-in whose id has no
+// suffix.
+func instances(id, address string, count int) []instance {
 	if count == 0 {
-		return []place{{id, address}}
+		return []instance{{id, address}}
 	}
 	base := netip.MustParseAddrPort(address)
-	list := make([]place, count)
+	list := make([]instance, count)
 	for i := range list {
 		port := base.Port()
 		if port != 0 {
 			port += uint16(i)
 		}
-		list[i] = place{fmt.Sprintf("%s-%d", id, i+1), netip.AddrPortFrom(base.Addr(), port).String()}
+		list[i] = instance{fmt.Sprintf("%s-%d", id, i+1), netip.AddrPortFrom(base.Addr(), port).String()}
 	}
 	return list
 }
@@ -160,11 +162,11 @@
 
 func (e EndpointSettings) options(id string) EndpointOptions {
 	return EndpointOptions{
-		ID: id, Slots: e.Slots, MaxConnections: e.MaxConnections, Work: milliseconds(e.WorkMS),
+		ID: id, Slots: e.Slots, MaxConnections: e.MaxConnections, WorkTime: milliseconds(e.WorkMS),
 	}
 }
 
-// vms returns the list of all VMs that the settings name.
+// vms returns the entry VMs, workers and endpoints of the settings.
 func (s *Settings) vms() []infra.VM {
 	var vms []infra.VM
 	add := func(id, failureDomain, role, address string) {
@@ -176,12 +178,12 @@
 		add(vm.ID, vm.FailureDomain, infra.RoleEntry, vm.Address)
 	}
 	for _, w := range s.Workers {
-		for _, p := range places(w.ID, w.Address, w.Count) {
+		for _, p := range instances(w.ID, w.Address, w.Count) {
 			add(p.id, w.FailureDomain, infra.RoleWorker, p.address)
 		}
 	}
 	for _, e := range s.Endpoints {
-		for _, p := range places(e.ID, e.Address, e.Count) {
+		for _, p := range instances(e.ID, e.Address, e.Count) {
 			add(p.id, e.FailureDomain, infra.RoleEndpoint, p.address)
 		}
 	}
--- a/standin/task.go
+++ b/standin/task.go
@@ -9,77 +9,79 @@
 	"github.com/redwingthread/redwingthread/infra"
 )
 
-// task is one entry of a worker's inventory with what the worker needs to run it.
+// task is one entry of a worker's inventory, with the data that the worker needs to run it.
 type task struct {
 	infra.Task
 	// reservedUntil is when a reservation expires; used in state reserved.
 	reservedUntil time.Time
-	// leaseUntil is when the task lease lapses; used in states held, running and checkpointing.
+	// leaseUntil is when the task lease expires; used in states held, running and checkpointing.
 	leaseUntil time.Time
-	// residentAt is when a started task becomes held; zero if it was not started.
-	residentAt time.Time
-	run        program
-	// progress is the work done up to progressAt.
+	// heldAt is when a started task becomes held; zero if it was not started.
+	heldAt  time.Time
+	program taskProgram
+	// progress is the work done until progressAt, as run time at full speed.
 	progress   time.Duration
 	progressAt time.Time
 	// percent is the share of its processors that the task may use, 1 to 100.
 	percent int
-	// checkpointAt is when a checkpoint is written; used in state checkpointing.
+	// checkpointAt is when the current checkpoint completes; used in state checkpointing.
 	checkpointAt time.Time
-	// stopAfterCheckpoint ends the task when the checkpoint is written.
+	// stopAfterCheckpoint stops the task when the current checkpoint completes.
 	stopAfterCheckpoint bool
 }
 
-// program is what a task does.
-type program struct {
-	// length is the work until the end; negative for a task that never ends.
-	length time.Duration
-	// failure is the detail with which the task fails at its end; empty for success.
+// taskProgram is the behaviour of a task, parsed from its command line.
+type taskProgram struct {
+	// work is the run time of the task at full speed; negative for a task that never ends.
+	work time.Duration
+	// failure is the detail with which the task fails once its work is done; empty for success.
 	failure string
 }
 
-// endless is the length of a program that never ends.
-const endless = time.Duration(-1)
+// unlimitedWork is the work of a program that never ends.
+const unlimitedWork = time.Duration(-1)
 
-// parseProgram reads a command line: "sleep SECONDS", "fail [SECONDS]" or "forever". Any other command fails at once.
-func parseProgram(run []string) program {
-	words := strings.Fields(strings.Join(run, " "))
-	if len(words) == 0 {
-		return program{failure: "empty command line"}
+// parseProgram parses a command line: "sleep SECONDS", "fail [SECONDS]" or "forever". A task with any other command
+// line fails as soon as it runs.
+func parseProgram(run []string) taskProgram {
+	fields := strings.Fields(strings.Join(run, " "))
+	if len(fields) == 0 {
+		return taskProgram{failure: "empty command line"}
 	}
-	length, err := parseSeconds(words[1:])
+	work, err := parseSeconds(fields[1:])
 	switch {
 	case err != nil:
-		return program{failure: "command " + words[0] + ": " + err.Error()}
-	case words[0] == "sleep":
-		return program{length: length}
-	case words[0] == "fail":
-		return program{length: length, failure: "task failed as its command line asks"}
-	case words[0] == "forever":
-		return program{length: endless}
+		return taskProgram{failure: "command " + fields[0] + ": " + err.Error()}
+	case fields[0] == "sleep":
+		return taskProgram{work: work}
+	case fields[0] == "fail":
+		return taskProgram{work: work, failure: "task failed as its command line asks"}
+	case fields[0] == "forever":
+		return taskProgram{work: unlimitedWork}
 	}
-	return program{failure: "unknown command " + words[0]}
+	return taskProgram{failure: "unknown command " + fields[0]}
 }
 
-func parseSeconds(words []string) (time.Duration, error) {
-	if len(words) == 0 {
+func parseSeconds(fields []string) (time.Duration, error) {
+	if len(fields) == 0 {
 		return 0, nil
 	}
-	seconds, err := strconv.ParseFloat(words[0], 64)
+	seconds, err := strconv.ParseFloat(fields[0], 64)
 	if err != nil || seconds < 0 {
-		return 0, fmt.Errorf("%q is not a number of seconds", words[0])
+		return 0, fmt.Errorf("%q is not a number of seconds", fields[0])
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
 
-// A checkpoint's name holds the progress, so that every worker can start from it.
+// checkpointPrefix precedes the progress in the name of a checkpoint. The progress is in the name so that any worker
+// can resume from the checkpoint.
 const checkpointPrefix = "progress-ms-"
 
 func checkpointName(job string, progress time.Duration) string {
 	return job + "/" + checkpointPrefix + strconv.FormatInt(progress.Milliseconds(), 10)
 }
 
-// checkpointProgress returns the progress in a checkpoint's name, 0 for a name of another form.
+// checkpointProgress returns the progress that a checkpoint's name contains, 0 for a name of another form.
 func checkpointProgress(name string) time.Duration {
 	_, number, _ := strings.Cut(name, checkpointPrefix)
 	ms, err := strconv.ParseInt(number, 10, 64)
@@ -89,64 +91,64 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// progressTo adds the work done until now.
-func (t *task) progressTo(now time.Time) {
+// addProgress adds the work done between progressAt and now.
+func (t *task) addProgress(now time.Time) {
 	if t.State == infra.TaskRunning && now.After(t.progressAt) {
 		t.progress += now.Sub(t.progressAt) * time.Duration(t.percent) / 100
 	}
 	t.progressAt = now
 }
 
-// nextChange returns when the task changes by itself; zero if it does not.
-func (t *task) nextChange() time.Time {
+// nextTransition returns when the task next changes its state without a command; zero if it does not.
+func (t *task) nextTransition() time.Time {
 	switch t.State {
 	case infra.TaskReserved:
-		if !t.residentAt.IsZero() {
-			return earlier(t.residentAt, t.leaseUntil)
+		if !t.heldAt.IsZero() {
+			return earlier(t.heldAt, t.leaseUntil)
 		}
 		return t.reservedUntil
 	case infra.TaskHeld:
 		return t.leaseUntil
 	case infra.TaskRunning:
-		if t.run.length < 0 {
+		if t.program.work < 0 {
 			return t.leaseUntil
 		}
-		rest := max(t.run.length-t.progress, 0) * 100 / time.Duration(t.percent)
-		return earlier(t.progressAt.Add(rest), t.leaseUntil)
+		remaining := max(t.program.work-t.progress, 0) * 100 / time.Duration(t.percent)
+		return earlier(t.progressAt.Add(remaining), t.leaseUntil)
 	case infra.TaskCheckpointing:
 		return earlier(t.checkpointAt, t.leaseUntil)
 	}
 	return time.Time{}
 }
 
-// change carries out the change due at now. It reports whether the task remains in the inventory.
-func (t *task) change(now time.Time) bool {
-	t.progressTo(now)
+// transition applies the state change that is due at now. It reports whether the task remains in the inventory.
+func (t *task) transition(now time.Time) bool {
+	t.addProgress(now)
 	switch {
-	case t.State == infra.TaskReserved && t.residentAt.IsZero():
+	case t.State == infra.TaskReserved && t.heldAt.IsZero():
 		return false
 	case !now.Before(t.leaseUntil):
 		t.State, t.Detail = infra.TaskLapsed, "task lease lapsed"
 	case t.State == infra.TaskReserved:
 		t.State = infra.TaskHeld
 	case t.State == infra.TaskRunning:
-		t.end()
+		t.complete()
 	case t.State == infra.TaskCheckpointing:
-		t.saved()
+		t.completeCheckpoint()
 	}
 	return true
 }
 
-// end ends a task whose work is done.
-func (t *task) end() {
+// complete ends a task whose work is done.
+func (t *task) complete() {
 	t.State = infra.TaskDone
-	if t.run.failure != "" {
-		t.State, t.Detail = infra.TaskFailed, t.run.failure
+	if t.program.failure != "" {
+		t.State, t.Detail = infra.TaskFailed, t.program.failure
 	}
 }
 
-// saved completes a checkpoint.
-func (t *task) saved() {
+// completeCheckpoint records the checkpoint and resumes or stops the task.
+func (t *task) completeCheckpoint() {
 	t.Checkpoint = checkpointName(t.Attempt.Job, t.progress)
 	t.State = infra.TaskRunning
 	if t.stopAfterCheckpoint {
--- a/standin/vmlist.go
+++ b/standin/vmlist.go
@@ -17,27 +17,29 @@
 // VMListFaults holds the faults of the VM list.
 type VMListFaults struct {
 	connectionFaults
-	// Flap answers every second read with the list as it was before the last change.
+	// Flap makes every second read return the list as it was before the last change.
 	Flap bool `json:"flap,omitempty"`
 }
 
-// VMList is a stand-in for the platform's list of VMs. Changes become visible after the lag.
+// VMList is a stand-in for the platform's list of VMs. Changes become visible after a configured lag.
 type VMList struct {
 	lag time.Duration
 
 	mu sync.Mutex
-	// states holds the list after each change in order of time, guarded by mu like the fields below.
+	// states holds the list after each change, oldest first; guarded by mu like the fields below.
 	states []vmListState
 	faults VMListFaults
 	reads  uint64
 }
 
+// vmListState is the content of the list after one change.
 type vmListState struct {
+	// visible is when reads begin to return this state.
 	visible time.Time
 	vms     map[string]infra.VM
 }
 
-// NewVMList returns a list that holds vms from the start.
+// NewVMList returns a list with the initial content vms, whose later changes become visible after lag.
 func NewVMList(vms []infra.VM, lag time.Duration) *VMList {
 	first := vmListState{vms: make(map[string]infra.VM)}
 	for _, vm := range vms {
@@ -53,17 +55,17 @@
 	l.faults = f
 }
 
-// Set adds or replaces vm; the change is visible after the lag.
+// Set adds or replaces vm at time now; the change becomes visible after the lag.
 func (l *VMList) Set(vm infra.VM, now time.Time) {
-	l.change(now, func(vms map[string]infra.VM) { vms[vm.ID] = vm })
+	l.update(now, func(vms map[string]infra.VM) { vms[vm.ID] = vm })
 }
 
-// Remove removes the VM of the id; the change is visible after the lag.
+// Remove removes the VM with the id at time now; the change becomes visible after the lag.
 func (l *VMList) Remove(id string, now time.Time) {
-	l.change(now, func(vms map[string]infra.VM) { delete(vms, id) })
+	l.update(now, func(vms map[string]infra.VM) { delete(vms, id) })
 }
 
-func (l *VMList) change(now time.Time, edit func(map[string]infra.VM)) {
+func (l *VMList) update(now time.Time, edit func(map[string]infra.VM)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	next := vmListState{visible: now.Add(l.lag), vms: make(map[string]infra.VM)}
@@ -74,7 +76,7 @@
 	l.states = append(l.states, next)
 }
 
-// VMs returns the list as it is visible at now, by id.
+// VMs returns the list that is visible at time now, sorted by id.
 func (l *VMList) VMs(now time.Time) []infra.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +98,7 @@
 	return vms
 }
 
-// Handler returns the HTTP service.
+// Handler returns the HTTP handler of the VM list.
 func (l *VMList) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/vms", func(w http.ResponseWriter, r *http.Request) {
@@ -104,14 +106,15 @@
 		faults := l.faults
 		l.mu.Unlock()
 		if faults.apply(w, r) {
-			writeTagged(w, r, infra.VMListResponse{VMs: l.VMs(time.Now())})
+			writeWithETag(w, r, infra.VMListResponse{VMs: l.VMs(time.Now())})
 		}
 	})
 	return mux
 }
 
-// writeTagged writes the list with an entity tag of its content, or 304 if the client has that content.
-func writeTagged(w http.ResponseWriter, r *http.Request, list infra.VMListResponse) {
+// writeWithETag writes the list with an entity tag of its content, or status 304 if the client already has that
+// content.
+func writeWithETag(w http.ResponseWriter, r *http.Request, list infra.VMListResponse) {
 	body, err := json.Marshal(list)
 	if err != nil {
 		writeError(w, err)
@@ -127,8 +130,9 @@
 	_, _ = w.Write(body)
 }
 
-// serveChange handles POST /v1/vms of the control service: a VM to set, or to remove if its state is "removed".
-func (l *VMList) serveChange(w http.ResponseWriter, r *http.Request) {
+// serveVMChange handles POST /v1/vms of the control service. The body is a VM to set, or to remove if its state is
+// "removed".
+func (l *VMList) serveVMChange(w http.ResponseWriter, r *http.Request) {
 	var vm infra.VM
 	if err := readJSON(r, &vm); err != nil {
 		writeError(w, err)
@@ -140,7 +144,7 @@
 	case "removed":
 		l.Remove(vm.ID, time.Now())
 	default:
-		writeError(w, errkind.New(errkind.BadInput, `use "live", "leaving" or "removed"`, "VM state %q", vm.State))
+		writeError(w, errkind.New(errkind.BadInput, `use "live", "leaving" or "removed"`, "unknown VM state %q", vm.State))
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -15,12 +15,12 @@
 	state *workerState
 }
 
-// NewWorker returns a worker without tasks.
+// NewWorker returns a worker that has no tasks and has granted no lease.
 func NewWorker(options WorkerOptions) *Worker {
 	return &Worker{state: newWorkerState(options)}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults; Restart takes effect at once.
 func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -29,7 +29,8 @@
 	w.state.setFaults(f, now)
 }
 
-// Commands carries out a call of POST /v1/commands at now.
+// Commands applies a request of POST /v1/commands at time now. A malformed request is rejected as a whole
+// with an error of kind errkind.BadInput.
 func (w *Worker) Commands(request infra.CommandsRequest, now time.Time) (infra.CommandsResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -37,7 +38,7 @@
 	return w.state.commands(request, now)
 }
 
-// Inventory returns the inventory at now.
+// Inventory returns the inventory at time now.
 func (w *Worker) Inventory(now time.Time) infra.Inventory {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,14 +46,14 @@
 	return w.state.inventory()
 }
 
-// TaskRuns returns how often each member of a job was released on this worker.
+// TaskRuns returns how often each member of each job was released on this worker, sorted by job and member.
 func (w *Worker) TaskRuns() []TaskRun {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.state.taskRuns()
 }
 
-// Handler returns the HTTP service.
+// Handler returns the HTTP handler of the worker.
 func (w *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/commands", w.serveCommands)
@@ -78,7 +79,7 @@
 		writeError(rw, err)
 		return
 	}
-	if w.takeLostResponse() {
+	if w.consumeLostResponse() {
 		dropConnection()
 	}
 	writeJSON(rw, http.StatusOK, response)
@@ -90,7 +91,7 @@
 	return w.state.faults
 }
 
-func (w *Worker) takeLostResponse() bool {
+func (w *Worker) consumeLostResponse() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.state.faults.LoseResponses == 0 {
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -9,8 +9,8 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// bench drives a worker state with a clock of its own.
-type bench struct {
+// workerHarness drives a workerState with a simulated clock and one holder.
+type workerHarness struct {
 	t      *testing.T
 	state  *workerState
 	now    time.Time
@@ -19,209 +19,216 @@
 	renew  []infra.AttemptID
 }
 
-func newBench(t *testing.T) *bench {
+func newWorkerHarness(t *testing.T) *workerHarness {
 	options := WorkerOptions{
 		ID: "w-1", Capacity: resource.Resources{Accelerators: 8, MilliCPU: 32_000, MemoryMB: 64_000},
 		UsageLag: 3 * time.Second, CheckpointTime: time.Second,
 	}
-	return &bench{t: t, state: newWorkerState(options), now: time.Unix(1_000, 0), holder: "s-1", epoch: 1}
+	return &workerHarness{t: t, state: newWorkerState(options), now: time.Unix(1_000, 0), holder: "s-1", epoch: 1}
 }
 
-func (b *bench) pass(d time.Duration) { b.now = b.now.Add(d) }
+func (h *workerHarness) advanceClock(d time.Duration) { h.now = h.now.Add(d) }
 
-// call sends commands with a holder lease of 6 s and a task lease of 30 s.
-func (b *bench) call(commands ...infra.Command) infra.CommandsResponse {
-	b.t.Helper()
-	b.state.advance(b.now)
-	response, err := b.state.commands(infra.CommandsRequest{
-		Holder: b.holder, Epoch: b.epoch, LeaseMS: 6_000, TaskLeaseMS: 30_000, Renew: b.renew, Commands: commands,
-	}, b.now)
+// send sends commands with a holder lease of 6 s and a task lease of 30 s.
+func (h *workerHarness) send(commands ...infra.Command) infra.CommandsResponse {
+	h.t.Helper()
+	h.state.advance(h.now)
+	response, err := h.state.commands(infra.CommandsRequest{
+		Holder: h.holder, Epoch: h.epoch, LeaseMS: 6_000, TaskLeaseMS: 30_000, Renew: h.renew, Commands: commands,
+	}, h.now)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return response
 }
 
-// must sends one command and fails the test unless its success is as wanted.
-func (b *bench) must(want bool, c infra.Command) {
-	b.t.Helper()
-	response := b.call(c)
+// wantOK sends one command and fails the test unless the OK field of its result is want.
+func (h *workerHarness) wantOK(want bool, c infra.Command) {
+	h.t.Helper()
+	response := h.send(c)
 	if !response.Granted || response.Results[0].OK != want {
-		b.t.Fatalf("%s: got %+v", c.Op, response)
+		h.t.Fatalf("%s: got %+v", c.Op, response)
 	}
 }
 
-// state0 returns the state of the first task, "" if there is none.
-func (b *bench) state0() infra.TaskState {
-	b.state.advance(b.now)
-	if len(b.state.tasks) == 0 {
+// firstTaskState returns the state of the first task, "" if there is none.
+func (h *workerHarness) firstTaskState() infra.TaskState {
+	h.state.advance(h.now)
+	if len(h.state.tasks) == 0 {
 		return ""
 	}
-	return b.state.tasks[0].State
+	return h.state.tasks[0].State
 }
 
-func (b *bench) want(state infra.TaskState) {
-	b.t.Helper()
-	if got := b.state0(); got != state {
-		b.t.Fatalf("got task state %q, want %q", got, state)
+func (h *workerHarness) wantState(state infra.TaskState) {
+	h.t.Helper()
+	if got := h.firstTaskState(); got != state {
+		h.t.Fatalf("got task state %q, want %q", got, state)
 	}
 }
 
 var attempt = infra.AttemptID{Job: "job-1", Attempt: 1}
 
-func command(op infra.Op, run ...string) infra.Command {
+func newCommand(op infra.Op, run ...string) infra.Command {
 	return infra.Command{
 		Op: op, Attempt: attempt, Resources: resource.Resources{Accelerators: 8}, TTLMS: 5_000, Run: run,
 	}
 }
 
-// run reserves, starts and releases a task.
-func (b *bench) run(commandLine string) {
-	b.t.Helper()
-	b.must(true, command(infra.OpReserve))
-	b.must(true, command(infra.OpStart, commandLine))
-	b.must(true, command(infra.OpRelease))
+// run reserves, starts and releases a task with the command line.
+func (h *workerHarness) run(commandLine string) {
+	h.t.Helper()
+	h.wantOK(true, newCommand(infra.OpReserve))
+	h.wantOK(true, newCommand(infra.OpStart, commandLine))
+	h.wantOK(true, newCommand(infra.OpRelease))
 }
 
-// TestHolderFencing guards against two holders at once and against a holder with a stale epoch.
+// TestHolderFencing guards against two holders at once and against a holder with a stale epoch whose commands take
+// effect.
 func TestHolderFencing(t *testing.T) {
-	b := newBench(t)
-	b.must(true, command(infra.OpReserve))
-	b.holder, b.epoch = "s-2", 2
-	if r := b.call(command(infra.OpStop)); r.Granted || r.Holder != "s-1" || r.ExpiresInMS != 6_000 {
+	h := newWorkerHarness(t)
+	h.wantOK(true, newCommand(infra.OpReserve))
+	h.holder, h.epoch = "s-2", 2
+	if r := h.send(newCommand(infra.OpStop)); r.Granted || r.Holder != "s-1" || r.ExpiresInMS != 6_000 {
 		t.Fatalf("second holder while the lease is in force: %+v", r)
 	}
-	b.want(infra.TaskReserved)
-	b.pass(6 * time.Second)
-	b.epoch = 1
-	if r := b.call(); r.Granted {
+	h.wantState(infra.TaskReserved)
+	h.advanceClock(6 * time.Second)
+	h.epoch = 1
+	if r := h.send(); r.Granted {
 		t.Fatalf("second holder with the first one's epoch: %+v", r)
 	}
-	b.epoch = 2
-	if r := b.call(); !r.Granted || r.Epoch != 2 {
-		t.Fatalf("second holder after the lease lapsed: %+v", r)
+	h.epoch = 2
+	if r := h.send(); !r.Granted || r.Epoch != 2 {
+		t.Fatalf("second holder after the lease expired: %+v", r)
 	}
-	b.pass(time.Hour)
-	b.holder, b.epoch = "s-1", 1
-	if r := b.call(command(infra.OpReserve)); r.Granted || r.Epoch != 2 || len(r.Results) != 0 {
+	h.advanceClock(time.Hour)
+	h.holder, h.epoch = "s-1", 1
+	if r := h.send(newCommand(infra.OpReserve)); r.Granted || r.Epoch != 2 || len(r.Results) != 0 {
 		t.Fatalf("first holder after the second: %+v", r)
 	}
 }
 
-// TestHolderRenewsAfterLapse guards against a holder that is locked out although nobody took over.
-func TestHolderRenewsAfterLapse(t *testing.T) {
-	b := newBench(t)
-	b.call()
-	b.pass(time.Minute)
-	if r := b.call(); !r.Granted || r.ExpiresInMS != 6_000 {
+// TestHolderRenewsExpiredLease guards against a holder that cannot renew its expired lease although no other holder
+// took over.
+func TestHolderRenewsExpiredLease(t *testing.T) {
+	h := newWorkerHarness(t)
+	h.send()
+	h.advanceClock(time.Minute)
+	if r := h.send(); !r.Granted || r.ExpiresInMS != 6_000 {
 		t.Fatalf("got %+v", r)
 	}
 }
 
-// TestTaskLifecycle guards the order of states from reservation to the end, and the resources held meanwhile.
+// TestTaskLifecycle guards against commands that are accepted in the wrong task state, and against resources that a
+// task does not occupy from its reservation to its end.
 func TestTaskLifecycle(t *testing.T) {
-	b := newBench(t)
-	b.must(false, command(infra.OpStart, "sleep 2"))
-	b.must(true, command(infra.OpReserve))
-	b.must(false, command(infra.OpRelease))
-	other := command(infra.OpReserve)
+	h := newWorkerHarness(t)
+	h.wantOK(false, newCommand(infra.OpStart, "sleep 2"))
+	h.wantOK(true, newCommand(infra.OpReserve))
+	h.wantOK(false, newCommand(infra.OpRelease))
+	other := newCommand(infra.OpReserve)
 	other.Attempt.Job = "job-2"
-	b.must(false, other)
-	b.must(true, command(infra.OpStart, "sleep", "2"))
-	b.must(true, command(infra.OpStart, "sleep", "2"))
-	b.pass(10 * time.Second)
-	b.want(infra.TaskHeld)
-	b.must(true, command(infra.OpRelease))
-	b.must(true, command(infra.OpRelease))
-	b.must(false, command(infra.OpForget))
-	b.pass(1999 * time.Millisecond)
-	b.want(infra.TaskRunning)
-	b.pass(time.Millisecond)
-	b.want(infra.TaskDone)
-	b.must(true, other)
-	b.must(false, command(infra.OpReserve))
-	b.must(true, command(infra.OpForget))
-	if runs := b.state.taskRuns(); len(runs) != 1 || runs[0].Count != 1 {
+	h.wantOK(false, other)
+	h.wantOK(true, newCommand(infra.OpStart, "sleep", "2"))
+	h.wantOK(true, newCommand(infra.OpStart, "sleep", "2"))
+	h.advanceClock(10 * time.Second)
+	h.wantState(infra.TaskHeld)
+	h.wantOK(true, newCommand(infra.OpRelease))
+	h.wantOK(true, newCommand(infra.OpRelease))
+	h.wantOK(false, newCommand(infra.OpForget))
+	h.advanceClock(1999 * time.Millisecond)
+	h.wantState(infra.TaskRunning)
+	h.advanceClock(time.Millisecond)
+	h.wantState(infra.TaskDone)
+	h.wantOK(true, other)
+	h.wantOK(false, newCommand(infra.OpReserve))
+	h.wantOK(true, newCommand(infra.OpForget))
+	if runs := h.state.taskRuns(); len(runs) != 1 || runs[0].Count != 1 {
 		t.Fatalf("got runs %+v", runs)
 	}
 }
 
-// TestLeasesLapse guards against work that outlives its reservation or its task lease.
-func TestLeasesLapse(t *testing.T) {
-	b := newBench(t)
-	b.must(true, command(infra.OpReserve))
-	b.pass(5 * time.Second)
-	b.want("")
-	b.run("forever")
+// TestReservationAndTaskLeaseExpire guards against a reservation that does not expire and a task that outlives its
+// lease.
+func TestReservationAndTaskLeaseExpire(t *testing.T) {
+	h := newWorkerHarness(t)
+	h.wantOK(true, newCommand(infra.OpReserve))
+	h.advanceClock(5 * time.Second)
+	h.wantState("")
+	h.run("forever")
 	for range 10 {
-		b.pass(20 * time.Second)
-		b.renew = []infra.AttemptID{attempt}
-		b.call()
+		h.advanceClock(20 * time.Second)
+		h.renew = []infra.AttemptID{attempt}
+		h.send()
 	}
-	b.want(infra.TaskRunning)
-	b.pass(30*time.Second - 1)
-	b.want(infra.TaskRunning)
-	b.pass(1)
-	b.want(infra.TaskLapsed)
-	b.call()
-	b.want(infra.TaskLapsed)
+	h.wantState(infra.TaskRunning)
+	h.advanceClock(30*time.Second - 1)
+	h.wantState(infra.TaskRunning)
+	h.advanceClock(1)
+	h.wantState(infra.TaskLapsed)
+	h.send()
+	h.wantState(infra.TaskLapsed)
 }
 
-// TestEndBeforeLapse guards against a task that is reported as lapsed although it ended before.
-func TestEndBeforeLapse(t *testing.T) {
-	b := newBench(t)
-	b.run("sleep 10")
-	b.pass(time.Hour)
-	b.want(infra.TaskDone)
+// TestTaskDoneBeforeLeaseExpires guards against a task that is reported as lapsed although it was done before its lease
+// expired. Both times have passed when the worker next advances its state.
+func TestTaskDoneBeforeLeaseExpires(t *testing.T) {
+	h := newWorkerHarness(t)
+	h.run("sleep 10")
+	h.advanceClock(time.Hour)
+	h.wantState(infra.TaskDone)
 }
 
-// TestCheckpointAndThrottle guards against lost or invented progress.
-func TestCheckpointAndThrottle(t *testing.T) {
-	b := newBench(t)
-	b.run("sleep 10")
-	slow := command(infra.OpThrottle)
+// TestCheckpointKeepsThrottledProgress guards against a checkpoint with less or more progress than the throttled task
+// made.
+func TestCheckpointKeepsThrottledProgress(t *testing.T) {
+	h := newWorkerHarness(t)
+	h.run("sleep 10")
+	slow := newCommand(infra.OpThrottle)
 	slow.ThrottlePercent = 50
-	b.must(true, slow)
-	b.pass(8 * time.Second)
-	stop := command(infra.OpStop)
+	h.wantOK(true, slow)
+	h.advanceClock(8 * time.Second)
+	stop := newCommand(infra.OpStop)
 	stop.Checkpoint, stop.CheckpointMS = "save", 2_000
-	b.must(true, stop)
-	b.want(infra.TaskCheckpointing)
-	b.pass(time.Second)
-	b.want(infra.TaskStopped)
-	saved := b.state.tasks[0].Checkpoint
-	b.must(true, command(infra.OpForget))
-	b.must(true, command(infra.OpReserve))
-	resume := command(infra.OpStart, "sleep 10")
+	h.wantOK(true, stop)
+	h.wantState(infra.TaskCheckpointing)
+	h.advanceClock(time.Second)
+	h.wantState(infra.TaskStopped)
+	saved := h.state.tasks[0].Checkpoint
+	h.wantOK(true, newCommand(infra.OpForget))
+	h.wantOK(true, newCommand(infra.OpReserve))
+	resume := newCommand(infra.OpStart, "sleep 10")
 	resume.Checkpoint = saved
-	b.must(true, resume)
-	b.must(true, command(infra.OpRelease))
-	b.pass(5999 * time.Millisecond)
-	b.want(infra.TaskRunning)
-	b.pass(time.Millisecond)
-	b.want(infra.TaskDone)
+	h.wantOK(true, resume)
+	h.wantOK(true, newCommand(infra.OpRelease))
+	h.advanceClock(5999 * time.Millisecond)
+	h.wantState(infra.TaskRunning)
+	h.advanceClock(time.Millisecond)
+	h.wantState(infra.TaskDone)
 }
 
-// TestCheckpointBound guards against a stop that waits for a checkpoint past the bound of the command.
-func TestCheckpointBound(t *testing.T) {
-	b := newBench(t)
-	b.run("forever")
-	stop := command(infra.OpStop)
+// TestStopSkipsSlowCheckpoint guards against a stop that waits for a checkpoint longer than the bound in the command.
+func TestStopSkipsSlowCheckpoint(t *testing.T) {
+	h := newWorkerHarness(t)
+	h.run("forever")
+	stop := newCommand(infra.OpStop)
 	stop.Checkpoint, stop.CheckpointMS = "save", 500
-	b.must(true, stop)
-	b.want(infra.TaskStopped)
-	if b.state.tasks[0].Checkpoint != "" {
-		t.Fatal("a checkpoint was written")
+	h.wantOK(true, stop)
+	h.wantState(infra.TaskStopped)
+	if h.state.tasks[0].Checkpoint != "" {
+		t.Fatal("a checkpoint was written that takes longer than the bound")
 	}
 }
 
-// TestWorkerFaults guards the injected failures that trials rely on.
+// TestWorkerFaults guards against injected faults and failing command lines, which trials rely on, that do not lead to
+// the specified task state.
 func TestWorkerFaults(t *testing.T) {
 	cases := map[string]struct {
-		faults WorkerFaults
-		run    string
-		after  time.Duration
-		want   infra.TaskState
+		faults    WorkerFaults
+		run       string
+		after     time.Duration
+		wantState infra.TaskState
 	}{
 		"fails every task":  {WorkerFaults{FailTasks: true}, "sleep 5", 0, infra.TaskFailed},
 		"never finishes":    {WorkerFaults{NeverFinish: true}, "sleep 1", 20 * time.Second, infra.TaskRunning},
@@ -232,52 +239,54 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			b.state.setFaults(c.faults, b.now)
-			b.run(c.run)
-			b.pass(c.after)
-			b.want(c.want)
+			h := newWorkerHarness(t)
+			h.state.setFaults(c.faults, h.now)
+			h.run(c.run)
+			h.advanceClock(c.after)
+			h.wantState(c.wantState)
 		})
 	}
 }
 
-// TestSlowStartLeavingRestart guards the faults that act before a task runs.
-func TestSlowStartLeavingRestart(t *testing.T) {
-	b := newBench(t)
-	b.state.setFaults(WorkerFaults{SlowStartMS: 4_000}, b.now)
-	b.must(true, command(infra.OpReserve))
-	b.must(true, command(infra.OpStart, "sleep 1"))
-	b.pass(3 * time.Second)
-	b.must(false, command(infra.OpRelease))
-	b.pass(time.Second)
-	b.must(true, command(infra.OpRelease))
-	before := b.state.inventory()
-	b.state.setFaults(WorkerFaults{Restart: true, Leaving: true}, b.now)
-	after := b.state.inventory()
+// TestSlowStartRestartAndLeaving guards against a slow start that can be released early, a restart that keeps tasks,
+// the incarnation or the revision, and a leaving worker that accepts a reservation.
+func TestSlowStartRestartAndLeaving(t *testing.T) {
+	h := newWorkerHarness(t)
+	h.state.setFaults(WorkerFaults{SlowStartMS: 4_000}, h.now)
+	h.wantOK(true, newCommand(infra.OpReserve))
+	h.wantOK(true, newCommand(infra.OpStart, "sleep 1"))
+	h.advanceClock(3 * time.Second)
+	h.wantOK(false, newCommand(infra.OpRelease))
+	h.advanceClock(time.Second)
+	h.wantOK(true, newCommand(infra.OpRelease))
+	before := h.state.inventory()
+	h.state.setFaults(WorkerFaults{Restart: true, Leaving: true}, h.now)
+	after := h.state.inventory()
 	if len(after.Tasks) != 0 || after.Incarnation == before.Incarnation || after.Revision <= before.Revision {
 		t.Fatalf("after the restart: %+v", after)
 	}
-	b.must(false, command(infra.OpReserve))
+	h.wantOK(false, newCommand(infra.OpReserve))
 }
 
-// TestUsageLags guards against a usage report without lag, and against a change of it without a new revision.
+// TestUsageLags guards against usage that is reported without lag, and against a change of the reported usage that does
+// not change the revision, so that holders do not read it.
 func TestUsageLags(t *testing.T) {
-	b := newBench(t)
-	b.must(true, command(infra.OpReserve))
-	b.must(true, command(infra.OpStart, "forever"))
-	first := b.call().Inventory
+	h := newWorkerHarness(t)
+	h.wantOK(true, newCommand(infra.OpReserve))
+	h.wantOK(true, newCommand(infra.OpStart, "forever"))
+	first := h.send().Inventory
 	if first.Usage.Accelerators != 0 {
 		t.Fatalf("usage without lag: %+v", first.Usage)
 	}
-	b.pass(3 * time.Second)
-	second := b.call().Inventory
+	h.advanceClock(3 * time.Second)
+	second := h.send().Inventory
 	if second.Usage.Accelerators != 8 || second.Revision == first.Revision {
 		t.Fatalf("got %+v", second)
 	}
 }
 
-// TestBadCommands guards against malformed calls that change something.
-func TestBadCommands(t *testing.T) {
+// TestMalformedCommandsChangeNothing guards against malformed requests that change the lease or the inventory.
+func TestMalformedCommandsChangeNothing(t *testing.T) {
 	cases := map[string]infra.CommandsRequest{
 		"no holder":      {Epoch: 9, LeaseMS: 1},
 		"negative lease": {Holder: "s", Epoch: 9, LeaseMS: -1},
@@ -286,12 +295,12 @@
 	}
 	for name, request := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			if _, err := b.state.commands(request, b.now); !errkind.Is(err, errkind.BadInput) {
+			h := newWorkerHarness(t)
+			if _, err := h.state.commands(request, h.now); !errkind.Is(err, errkind.BadInput) {
 				t.Fatalf("got error %v", err)
 			}
-			if b.state.epoch != 0 || b.state.revision != 1 {
-				t.Fatalf("state changed: epoch %d, revision %d", b.state.epoch, b.state.revision)
+			if h.state.epoch != 0 || h.state.revision != 1 {
+				t.Fatalf("state changed: epoch %d, revision %d", h.state.epoch, h.state.revision)
 			}
 		})
 	}
--- a/standin/workercommands.go
+++ b/standin/workercommands.go
@@ -7,28 +7,29 @@
 	"github.com/redwingthread/redwingthread/infra"
 )
 
-// Reasons of refused commands.
+// Reasons for which a worker rejects a command.
 const (
-	refusedNoTask    = "no such task"
-	refusedCapacity  = "not enough free resources"
-	refusedLeaving   = "worker is leaving"
-	refusedState     = "task is in state "
-	refusedEndedTask = "attempt has ended here"
+	reasonNoTask    = "no such task"
+	reasonCapacity  = "not enough free resources"
+	reasonLeaving   = "worker is leaving"
+	reasonState     = "task is in state "
+	reasonEndedTask = "attempt has ended here"
 )
 
-// commands carries out a call at now, after advance. An error of kind BadInput changes nothing.
+// commands applies a request at now, after advance. A malformed request gives an error of kind BadInput and changes
+// nothing.
 func (s *workerState) commands(request infra.CommandsRequest, now time.Time) (infra.CommandsResponse, error) {
 	if err := checkCommands(request); err != nil {
 		return infra.CommandsResponse{}, err
 	}
-	granted := s.grant(request, now)
+	granted := s.grantLease(request, now)
 	var results []infra.CommandResult
 	if granted {
-		s.renew(request, now)
+		s.renewTaskLeases(request, now)
 		for _, c := range request.Commands {
-			results = append(results, s.command(c, request, now))
+			results = append(results, s.applyCommand(c, request, now))
 		}
-		// A task without work, such as "sleep 0", ends at its release.
+		// A task without work, such as "sleep 0", ends as soon as it is released.
 		s.advance(now)
 	}
 	response := infra.CommandsResponse{
@@ -48,10 +49,10 @@
 func checkCommands(request infra.CommandsRequest) error {
 	const remedy = "send the request that docs/design.md describes"
 	if request.Holder == "" {
-		return errkind.New(errkind.BadInput, remedy, "command call without holder")
+		return errkind.New(errkind.BadInput, remedy, "commands request without holder")
 	}
 	if request.LeaseMS < 0 || request.TaskLeaseMS < 0 {
-		return errkind.New(errkind.BadInput, remedy, "negative lease")
+		return errkind.New(errkind.BadInput, remedy, "commands request with negative lease")
 	}
 	for i, c := range request.Commands {
 		switch c.Op {
@@ -59,19 +60,20 @@
 			infra.OpForget:
 		case infra.OpThrottle:
 			if c.ThrottlePercent < 1 || c.ThrottlePercent > 100 {
-				return errkind.New(errkind.BadInput, "use 1 to 100 percent", "command %d throttles to %d percent", i,
-					c.ThrottlePercent)
+				return errkind.New(errkind.BadInput, "use 1 to 100 percent",
+					"command %d: throttle percentage %d is out of range", i, c.ThrottlePercent)
 			}
 		default:
-			return errkind.New(errkind.BadInput, remedy, "command %d has unknown op %q", i, c.Op)
+			return errkind.New(errkind.BadInput, remedy, "command %d: unknown op %q", i, c.Op)
 		}
 	}
 	return nil
 }
 
-// grant decides about the holder lease. While a lease is in force only its holder may call; a new holder needs a higher
-// epoch than any granted before, which fences the former one. A lease of 0 ms gives the lease back after the call.
-func (s *workerState) grant(request infra.CommandsRequest, now time.Time) bool {
+// grantLease grants or renews the holder lease and reports whether it did. While a lease is in force, only its holder
+// may send commands. A new holder needs a higher epoch than any granted before, which fences the previous holder. A
+// lease of 0 ms releases the lease at the end of the request.
+func (s *workerState) grantLease(request infra.CommandsRequest, now time.Time) bool {
 	sameHolder := request.Holder == s.holder
 	inForce := now.Before(s.leaseUntil)
 	switch {
@@ -86,8 +88,8 @@
 	return true
 }
 
-// renew extends the task leases of the attempts that the holder lists.
-func (s *workerState) renew(request infra.CommandsRequest, now time.Time) {
+// renewTaskLeases extends the task leases of the attempts in request.Renew. It never shortens a lease.
+func (s *workerState) renewTaskLeases(request infra.CommandsRequest, now time.Time) {
 	until := now.Add(milliseconds(request.TaskLeaseMS))
 	for _, attempt := range request.Renew {
 		for _, t := range s.tasks {
@@ -98,9 +100,9 @@
 	}
 }
 
-// command carries out one command.
-func (s *workerState) command(c infra.Command, request infra.CommandsRequest, now time.Time) infra.CommandResult {
-	t := s.find(c.Attempt, c.Member)
+// applyCommand applies one command. The methods that it calls return the reason for a rejection, empty for success.
+func (s *workerState) applyCommand(c infra.Command, request infra.CommandsRequest, now time.Time) infra.CommandResult {
+	t := s.findTask(c.Attempt, c.Member)
 	var reason string
 	switch c.Op {
 	case infra.OpReserve:
@@ -111,9 +113,9 @@
 		reason = s.forget(t)
 	default:
 		if t == nil {
-			return infra.CommandResult{Reason: refusedNoTask}
+			return infra.CommandResult{Reason: reasonNoTask}
 		}
-		t.progressTo(now)
+		t.addProgress(now)
 		switch c.Op {
 		case infra.OpStart:
 			reason = s.start(t, c, request.TaskLeaseMS, now)
@@ -126,26 +128,26 @@
 		}
 	}
 	if reason == "" {
-		s.changed(now)
+		s.recordChange(now)
 	}
 	return infra.CommandResult{OK: reason == "", Reason: reason}
 }
 
-// reserve sets resources aside. A repeat extends the reservation.
+// reserve reserves resources. Repeating the command extends the reservation.
 func (s *workerState) reserve(t *task, c infra.Command, epoch uint64, now time.Time) string {
 	until := now.Add(milliseconds(c.TTLMS))
 	switch {
 	case t != nil && t.State.Ended():
-		return refusedEndedTask
+		return reasonEndedTask
 	case t != nil && t.State != infra.TaskReserved:
-		return refusedState + string(t.State)
+		return reasonState + string(t.State)
 	case t != nil:
 		t.reservedUntil = until
 		return ""
 	case s.faults.Leaving:
-		return refusedLeaving
+		return reasonLeaving
 	case !s.used().Add(c.Resources).Fits(s.options.Capacity):
-		return refusedCapacity
+		return reasonCapacity
 	}
 	s.tasks = append(s.tasks, &task{
 		Task: infra.Task{
@@ -157,39 +159,39 @@
 	return ""
 }
 
-// start makes a reserved task resident. A repeat changes nothing.
+// start loads a reserved task, which becomes held after the slow-start time. Repeating the command changes nothing.
 func (s *workerState) start(t *task, c infra.Command, taskLeaseMS int64, now time.Time) string {
-	if t.State == infra.TaskHeld || !t.residentAt.IsZero() && t.State == infra.TaskReserved {
+	if t.State == infra.TaskHeld || !t.heldAt.IsZero() && t.State == infra.TaskReserved {
 		return ""
 	}
 	if t.State != infra.TaskReserved {
-		return refusedState + string(t.State)
+		return reasonState + string(t.State)
 	}
-	t.run = parseProgram(c.Run)
+	t.program = parseProgram(c.Run)
 	t.Checkpoint = c.Checkpoint
 	t.progress = checkpointProgress(c.Checkpoint)
 	t.leaseUntil = now.Add(milliseconds(taskLeaseMS))
-	t.residentAt = now.Add(milliseconds(s.faults.SlowStartMS))
+	t.heldAt = now.Add(milliseconds(s.faults.SlowStartMS))
 	if s.faults.SlowStartMS == 0 {
 		t.State = infra.TaskHeld
 	}
 	return ""
 }
 
-// release lets a held task run. A repeat changes nothing.
+// release lets a held task run. Repeating the command changes nothing.
 func (s *workerState) release(t *task, now time.Time) string {
 	if t.State == infra.TaskRunning {
 		return ""
 	}
 	if t.State != infra.TaskHeld {
-		return refusedState + string(t.State)
+		return reasonState + string(t.State)
 	}
 	s.runs[taskRunKey{t.Attempt.Job, t.Member}]++
 	if s.faults.FailTasks {
-		t.run = program{failure: "worker fails every task"}
+		t.program = taskProgram{failure: "worker fails every task"}
 	}
 	if s.faults.NeverFinish {
-		t.run.length = endless
+		t.program.work = unlimitedWork
 	}
 	t.State = infra.TaskRunning
 	t.progressAt = now
@@ -205,28 +207,28 @@
 		t.checkpointAt = now.Add(s.options.CheckpointTime)
 		return ""
 	}
-	return refusedState + string(t.State)
+	return reasonState + string(t.State)
 }
 
 func throttle(t *task, c infra.Command) string {
 	if t.State.Ended() {
-		return refusedState + string(t.State)
+		return reasonState + string(t.State)
 	}
 	t.percent = c.ThrottlePercent
 	return ""
 }
 
-// stop gives a reservation back or ends a task, after a checkpoint if the command asks for one and the bound allows
-// it. Stopping what is not there or has ended succeeds, since the holder's aim is met.
+// stop cancels a reservation or stops a task, after a checkpoint if the command asks for one and the checkpoint fits
+// into CheckpointMS. Stopping a task that does not exist or has ended succeeds, since it does not run.
 func (s *workerState) stop(t *task, c infra.Command, now time.Time) string {
 	switch {
 	case t == nil || t.State.Ended():
 		return ""
-	case t.State == infra.TaskReserved && t.residentAt.IsZero():
-		s.remove(t)
+	case t.State == infra.TaskReserved && t.heldAt.IsZero():
+		s.removeTask(t)
 		return ""
 	}
-	t.progressTo(now)
+	t.addProgress(now)
 	inTime := s.options.CheckpointTime <= milliseconds(c.CheckpointMS)
 	switch {
 	case c.Checkpoint != "" && t.State == infra.TaskRunning && inTime:
@@ -246,9 +248,9 @@
 		return ""
 	}
 	if !t.State.Ended() {
-		return refusedState + string(t.State)
+		return reasonState + string(t.State)
 	}
-	s.remove(t)
+	s.removeTask(t)
 	return ""
 }
 
--- a/standin/workerstate.go
+++ b/standin/workerstate.go
@@ -12,17 +12,17 @@
 // WorkerFaults holds the faults of a worker.
 type WorkerFaults struct {
 	connectionFaults
-	// LoseResponses is the number of next command calls that take effect and whose response is lost.
+	// LoseResponses is the number of upcoming commands requests that take effect but whose response is lost.
 	LoseResponses int `json:"lose_responses,omitempty"`
-	// FailTasks fails every task when it is released.
+	// FailTasks makes every task fail when it is released.
 	FailTasks bool `json:"fail_tasks,omitempty"`
 	// NeverFinish keeps every task running until it is stopped.
 	NeverFinish bool `json:"never_finish,omitempty"`
-	// SlowStartMS is the time that a started task needs to become resident, in milliseconds.
+	// SlowStartMS is the time that a started task needs to become held, in milliseconds.
 	SlowStartMS int64 `json:"slow_start_ms,omitempty"`
-	// Leaving reports the worker as leaving; it takes no new reservation.
+	// Leaving reports the worker as leaving; it accepts no new reservations.
 	Leaving bool `json:"leaving,omitempty"`
-	// Restart replaces the VM once: tasks, lease and epoch are lost and the incarnation changes.
+	// Restart simulates one restart of the VM: tasks, lease and epoch are lost and the incarnation changes.
 	Restart bool `json:"restart,omitempty"`
 }
 
@@ -30,9 +30,9 @@
 type WorkerOptions struct {
 	ID       string
 	Capacity resource.Resources
-	// UsageLag is the age of the reported usage.
+	// UsageLag is the delay with which the inventory reports usage.
 	UsageLag time.Duration
-	// CheckpointTime is the time that a checkpoint takes.
+	// CheckpointTime is the duration of a checkpoint.
 	CheckpointTime time.Duration
 }
 
@@ -44,8 +44,8 @@
 	Count  int    `json:"count"`
 }
 
-// workerState is the state of a worker without clock and I/O. Its owner calls advance with the time before anything
-// else.
+// workerState is the state machine of a worker, without a clock and I/O. The caller passes the current time and calls
+// advance with it before any other method.
 type workerState struct {
 	options     WorkerOptions
 	faults      WorkerFaults
@@ -54,11 +54,11 @@
 
 	holder string
 	epoch  uint64
-	// leaseUntil is when the holder lease lapses.
+	// leaseUntil is when the holder lease expires.
 	leaseUntil time.Time
 
 	tasks []*task
-	// usage holds the resources in use after each change, oldest first, as far back as the lag needs.
+	// usage holds the resources in use after each change, oldest first, back to the sample that UsageLag makes visible.
 	usage []usageSample
 	runs  map[taskRunKey]int
 }
@@ -93,51 +93,52 @@
 	s.revision++
 }
 
-// restart loses what the VM held in memory. The revision goes on, so that no holder takes the new inventory for one
-// that it knows.
+// restart drops the state that the VM kept in memory. The revision keeps increasing, so that no holder mistakes the new
+// inventory for one that it already has.
 func (s *workerState) restart(now time.Time) {
 	s.incarnation++
 	s.tasks = nil
 	s.holder, s.epoch, s.leaseUntil = "", 0, time.Time{}
-	s.changed(now)
+	s.recordChange(now)
 }
 
-// advance carries out all changes that were due until now, in order of time.
+// advance applies all state changes that are due by now, in chronological order.
 func (s *workerState) advance(now time.Time) {
 	for {
-		next := s.nextDue()
-		if next == nil || next.nextChange().After(now) {
+		next := s.nextDueTask()
+		if next == nil || next.nextTransition().After(now) {
 			break
 		}
-		at := next.nextChange()
-		if !next.change(at) {
-			s.remove(next)
+		at := next.nextTransition()
+		if !next.transition(at) {
+			s.removeTask(next)
 		}
-		s.changed(at)
+		s.recordChange(at)
 	}
-	s.forgetUsage(now)
+	s.dropOldUsage(now)
 }
 
-// nextDue returns the task that changes first by itself; nil if none does.
-func (s *workerState) nextDue() *task {
+// nextDueTask returns the task with the earliest transition; nil if no task has one.
+func (s *workerState) nextDueTask() *task {
 	var first *task
 	for _, t := range s.tasks {
-		at := t.nextChange()
-		if !at.IsZero() && (first == nil || at.Before(first.nextChange())) {
+		at := t.nextTransition()
+		if !at.IsZero() && (first == nil || at.Before(first.nextTransition())) {
 			first = t
 		}
 	}
 	return first
 }
 
-// changed counts a change of the inventory and samples the use of resources.
-func (s *workerState) changed(at time.Time) {
+// recordChange increments the revision of the inventory and samples the resources in use.
+func (s *workerState) recordChange(at time.Time) {
 	s.revision++
 	s.usage = append(s.usage, usageSample{at: at, used: s.used()})
 }
 
-// forgetUsage drops the samples that the lag has passed. A report that thereby changes is a new revision.
-func (s *workerState) forgetUsage(now time.Time) {
+// dropOldUsage drops the samples that are older than the one reported at now. The revision is incremented if the
+// reported usage changes.
+func (s *workerState) dropOldUsage(now time.Time) {
 	visible := now.Add(-s.options.UsageLag)
 	for len(s.usage) > 1 && !s.usage[1].at.After(visible) {
 		if s.usage[1].used != s.usage[0].used {
@@ -158,7 +159,8 @@
 	return used
 }
 
-func (s *workerState) find(attempt infra.AttemptID, member int) *task {
+// findTask returns the task of a member of an attempt; nil if there is none.
+func (s *workerState) findTask(attempt infra.AttemptID, member int) *task {
 	for _, t := range s.tasks {
 		if t.Attempt == attempt && t.Member == member {
 			return t
@@ -167,16 +169,16 @@
 	return nil
 }
 
-func (s *workerState) remove(gone *task) {
+func (s *workerState) removeTask(removed *task) {
 	for i, t := range s.tasks {
-		if t == gone {
+		if t == removed {
 			s.tasks = append(s.tasks[:i:i], s.tasks[i+1:]...)
 			return
 		}
 	}
 }
 
-// inventory returns the inventory after advance.
+// inventory returns the inventory as of the last advance.
 func (s *workerState) inventory() infra.Inventory {
 	inventory := infra.Inventory{
 		Worker:      s.options.ID,
@@ -193,7 +195,7 @@
 	return inventory
 }
 
-// taskRuns returns how often each member of a job was released here.
+// taskRuns returns how often each member of each job was released on this worker, sorted by job and member.
 func (s *workerState) taskRuns() []TaskRun {
 	runs := make([]TaskRun, 0, len(s.runs))
 	for key, count := range s.runs {
