--- a/processtest/config_test.go
+++ b/processtest/config_test.go
@@ -14,19 +14,20 @@
 	"github.com/redwingthread/redwingthread/standin"
 )
 
-// inForceBound is the bound from the acceptance of a patch until it is in force on every reachable VM.
+// inForceBound bounds the time from the acceptance of a patch until it is in force on every reachable VM.
 const inForceBound = 8 * time.Second
 
-// submitDrain submits a patch that drains a VM of no importance and returns its decision.
-func (s *system) submitDrain(v *vm, id string) (operatorclient.Decision, error) {
+// submitHarmlessPatch submits a patch that drains a VM which is not part of the system, and returns the decision.
+func (s *system) submitHarmlessPatch(v *vm, id string) (operatorclient.Decision, error) {
 	return s.submitPatch(v, id, "vm-retired")
 }
 
-// setDrain submits a patch that drains a VM.
-func (s *system) setDrain(v *vm, drained string) (operatorclient.Decision, error) {
+// drainVM submits a patch that drains the VM called drained, and returns the decision.
+func (s *system) drainVM(v *vm, drained string) (operatorclient.Decision, error) {
 	return s.submitPatch(v, "drain-"+drained, drained)
 }
 
+// submitPatch submits a patch with the id to the gateway of v. The patch drains the VM called drained.
 func (s *system) submitPatch(v *vm, id, drained string) (operatorclient.Decision, error) {
 	doc, err := s.operator(v).Document(s.t.Context(), nil)
 	if err != nil {
@@ -40,8 +41,9 @@
 		Ops: []config.Op{{Op: "set", Path: "drains/" + drained, Value: value}}})
 }
 
-// inForceEverywhere reports which VM does not have the version, by the answer of each gateway about its own VM.
-func (s *system) inForceEverywhere(version uint64) error {
+// checkInForceEverywhere returns an error if a VM has an older version than version, according to the status that each
+// gateway reports for its own VM.
+func (s *system) checkInForceEverywhere(version uint64) error {
 	for _, v := range s.vms {
 		status, err := s.operator(v).Status(s.t.Context())
 		if err != nil {
@@ -57,52 +59,56 @@
 	return nil
 }
 
-// TestConfigurationReachesCutOffDomain guards against a failure domain that is cut off from the log, but not from its
-// peers, and keeps an old version.
+// TestConfigurationReachesCutOffDomain guards against a failure domain that keeps an old configuration version while it
+// is cut off from the log but not from its peers, and against a submission in that domain that is not reported as
+// unknown.
 func TestConfigurationReachesCutOffDomain(t *testing.T) {
 	s := startSystem(t)
 	var outage standin.GateFaults
 	if err := json.Unmarshal([]byte(`{"down":true}`), &outage); err != nil {
 		t.Fatal(err)
 	}
-	s.set.Gates["cut"].SetFaults(outage)
+	s.standins.Gates["cut"].SetFaults(outage)
 	for i := range 3 {
-		decision, err := s.submitDrain(s.vms[0], fmt.Sprintf("while-cut-%d", i))
+		decision, err := s.submitHarmlessPatch(s.vms[0], fmt.Sprintf("while-cut-%d", i))
 		if err != nil || decision.Outcome != configlog.Accepted {
 			t.Fatalf("got %+v, error %v", decision, err)
 		}
 		took := s.waitFor("version on the cut-off VMs", inForceBound, func() error {
-			return s.inForceEverywhere(decision.Version)
+			return s.checkInForceEverywhere(decision.Version)
 		})
 		t.Logf("version %d in force everywhere after %v", decision.Version, took)
 	}
-	if _, err := s.submitDrain(s.vms[4], "from-the-cut-domain"); !errkind.Is(err, errkind.Unknown) {
+	if _, err := s.submitHarmlessPatch(s.vms[4], "from-the-cut-domain"); !errkind.Is(err, errkind.Unknown) {
 		t.Errorf("submission without the log gave %v, want kind %q", err, errkind.Unknown)
 	}
 }
 
-// TestConfigurationDelayOfRacingOperators measures the delay of changes by operators at two gateways that race each
-// other, and guards against a version that comes late or two winners on one base.
+// TestConfigurationDelayOfRacingOperators measures the delay of configuration changes while operators at two gateways
+// submit competing patches. It guards against a version that is in force too late and against two patches that are both
+// accepted for the same base version.
 func TestConfigurationDelayOfRacingOperators(t *testing.T) {
 	s := startSystem(t)
 	var delays []time.Duration
-	winners := make(map[uint64]string)
+	accepted := make(map[uint64]string)
 	for i := range 20 {
 		for j, v := range []*vm{s.vms[0], s.vms[5]} {
 			id := fmt.Sprintf("race-%d-%d", i, j)
 			began := time.Now()
-			decision, err := s.submitDrain(v, id)
+			decision, err := s.submitHarmlessPatch(v, id)
 			if errkind.Is(err, errkind.Conflict) {
 				continue
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			if winner, taken := winners[decision.Version]; taken {
-				t.Fatalf("version %d was won by %s and %s", decision.Version, winner, id)
+			if acceptedID, exists := accepted[decision.Version]; exists {
+				t.Fatalf("version %d was made by both %s and %s", decision.Version, acceptedID, id)
 			}
-			winners[decision.Version] = id
-			s.waitFor("version everywhere", inForceBound, func() error { return s.inForceEverywhere(decision.Version) })
+			accepted[decision.Version] = id
+			s.waitFor("version on all VMs", inForceBound, func() error {
+				return s.checkInForceEverywhere(decision.Version)
+			})
 			delays = append(delays, time.Since(began))
 		}
 	}
--- a/processtest/control_test.go
+++ b/processtest/control_test.go
@@ -10,13 +10,15 @@
 )
 
 const (
-	// takeoverBound is the holder lease of 6 s, the grace for the inventories of 1 s and the heartbeat of 2 s.
+	// takeoverBound is the sum of the holder lease of 6 s, the grace period for reading inventories of 1 s and the
+	// heartbeat interval of 2 s.
 	takeoverBound = 9 * time.Second
-	// urgentBound is the bound for the start of urgent work.
+	// urgentBound bounds the time from the submission of an urgent job until it runs.
 	urgentBound = 1800 * time.Millisecond
 )
 
-func (s *system) submit(id, domain string, members int, urgent bool, run ...string) {
+// submitJob submits a job of one gang through the first VM and fails the test if the job is not accepted.
+func (s *system) submitJob(id, domain string, members int, urgent bool, run ...string) {
 	s.t.Helper()
 	_, err := s.operator(s.vms[0]).SubmitJob(s.t.Context(), jobs.Job{ID: id, Account: "orders", FailureDomain: domain,
 		Shape: gangShape(members), Urgent: urgent, Run: run})
@@ -25,8 +27,8 @@
 	}
 }
 
-// inState reports why the job is not in the state.
-func (s *system) inState(id string, state jobs.State) error {
+// checkJobState returns an error if the job is not in the state.
+func (s *system) checkJobState(id string, state jobs.State) error {
 	status, err := s.operator(s.vms[0]).Job(s.t.Context(), id)
 	if err != nil {
 		return err
@@ -37,6 +39,7 @@
 	return nil
 }
 
+// activeScheduler returns the VM whose scheduler is active in the failure domain, as another failure domain sees it.
 func (s *system) activeScheduler(domain string) (*vm, error) {
 	health, err := s.operator(s.vms[4]).Health(s.t.Context())
 	if err != nil {
@@ -50,10 +53,10 @@
 	return nil, fmt.Errorf("no active scheduler of %s is known", domain)
 }
 
-// releases returns how often the members of a job were released on all workers together.
-func (s *system) releases(job string) int {
+// countReleases returns how often members of the job were released, summed over all workers.
+func (s *system) countReleases(job string) int {
 	n := 0
-	for _, task := range s.set.Runs().Tasks {
+	for _, task := range s.standins.Runs().Tasks {
 		if task.Job == job {
 			n += task.Count
 		}
@@ -61,15 +64,15 @@
 	return n
 }
 
-// TestTakeoverKeepsGangs guards against a killed or frozen scheduler that stops or repeats a running gang, and against
-// a resumed one that still acts.
+// TestTakeoverKeepsGangs guards against a takeover that stops or restarts a running gang after the active scheduler is
+// killed or frozen, and against a resumed scheduler that still acts.
 func TestTakeoverKeepsGangs(t *testing.T) {
 	s := startSystem(t)
-	s.submit("long", "fd-a", 2, false, "sleep", "25")
-	s.waitFor("running gang", 10*time.Second, func() error { return s.inState("long", jobs.StateRunning) })
+	s.submitJob("long", "fd-a", 2, false, "sleep", "25")
+	s.waitFor("running gang", 10*time.Second, func() error { return s.checkJobState("long", jobs.StateRunning) })
 	faults := []struct {
 		name    string
-		hit     func(*vm)
+		inject  func(*vm)
 		recover func(*vm)
 	}{
 		{"kill", func(v *vm) { kill(v.scheduler) }, func(v *vm) { s.startScheduler(v) }},
@@ -81,7 +84,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fault.hit(active)
+		fault.inject(active)
 		took := s.waitFor("takeover after "+fault.name, takeoverBound, func() error {
 			now, err := s.activeScheduler("fd-a")
 			if err == nil && now == active {
@@ -91,12 +94,14 @@
 		})
 		t.Logf("%s of %s: takeover in %v", fault.name, active.name, took)
 		id := "after-" + fault.name
-		s.submit(id, "fd-a", 1, true, "sleep", "1")
-		s.waitFor("job after the takeover", 10*time.Second, func() error { return s.inState(id, jobs.StateCompleted) })
+		s.submitJob(id, "fd-a", 1, true, "sleep", "1")
+		s.waitFor("job after the takeover", 10*time.Second, func() error {
+			return s.checkJobState(id, jobs.StateCompleted)
+		})
 		fault.recover(active)
 	}
-	s.waitFor("end of the gang", 30*time.Second, func() error { return s.inState("long", jobs.StateCompleted) })
-	if n := s.releases("long"); n != 2 {
+	s.waitFor("end of the gang", 30*time.Second, func() error { return s.checkJobState("long", jobs.StateCompleted) })
+	if n := s.countReleases("long"); n != 2 {
 		t.Errorf("members were released %d times, want 2", n)
 	}
 	for _, line := range s.violations() {
@@ -104,43 +109,44 @@
 	}
 }
 
-// TestUrgentStartIsInTime guards against a start path that waits for a poll or an interval.
+// TestUrgentStartIsInTime guards against an urgent job that starts late because a step of the start path waits for the
+// next poll or interval.
 func TestUrgentStartIsInTime(t *testing.T) {
 	s := startSystem(t)
-	// Right after a takeover a worker that has not answered yet may still run any job, so starts wait for it; the bound
-	// holds once the scheduler has read all workers.
-	s.submit("first", "fd-b", 1, false, "sleep", "0")
-	s.waitFor("first job", 60*time.Second, func() error { return s.inState("first", jobs.StateCompleted) })
+	// Right after a takeover, any job may still run on a worker that has not responded yet, so starts wait for that
+	// worker. The bound holds once the scheduler has read the inventories of all workers.
+	s.submitJob("first", "fd-b", 1, false, "sleep", "0")
+	s.waitFor("first job", 60*time.Second, func() error { return s.checkJobState("first", jobs.StateCompleted) })
 	for i := range 10 {
 		id := fmt.Sprintf("urgent-%d", i)
 		began := time.Now()
-		s.submit(id, "fd-b", 1, true, "sleep", "1")
+		s.submitJob(id, "fd-b", 1, true, "sleep", "1")
 		s.waitFor("urgent job", urgentBound, func() error {
-			err := s.inState(id, jobs.StateRunning)
-			if err != nil && s.inState(id, jobs.StateCompleted) == nil {
+			err := s.checkJobState(id, jobs.StateRunning)
+			if err != nil && s.checkJobState(id, jobs.StateCompleted) == nil {
 				return nil
 			}
 			return err
 		})
 		t.Logf("%s runs after %v", id, time.Since(began))
-		s.waitFor("its end", 10*time.Second, func() error { return s.inState(id, jobs.StateCompleted) })
+		s.waitFor("end of the urgent job", 10*time.Second, func() error { return s.checkJobState(id, jobs.StateCompleted) })
 	}
 }
 
-// TestDrainedVMRests guards against a drained VM whose gateway stays ready or whose scheduler stays active, and against
-// a drain that stops a gang.
-func TestDrainedVMRests(t *testing.T) {
+// TestDrainedVMBecomesIdle guards against a drained VM whose gateway stays ready or whose scheduler stays active, and
+// against a drain that stops a running gang.
+func TestDrainedVMBecomesIdle(t *testing.T) {
 	s := startSystem(t)
-	s.submit("long", "fd-a", 2, false, "sleep", "6")
-	s.waitFor("running gang", 10*time.Second, func() error { return s.inState("long", jobs.StateRunning) })
+	s.submitJob("long", "fd-a", 2, false, "sleep", "6")
+	s.waitFor("running gang", 10*time.Second, func() error { return s.checkJobState("long", jobs.StateRunning) })
 	active, err := s.activeScheduler("fd-a")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.setDrain(s.vms[2], active.name); err != nil {
+	if _, err := s.drainVM(s.vms[2], active.name); err != nil {
 		t.Fatal(err)
 	}
-	s.waitFor("rest of the drained VM", takeoverBound, func() error {
+	s.waitFor("drained VM to become idle", takeoverBound, func() error {
 		now, err := s.activeScheduler("fd-a")
 		if err == nil && now == active {
 			err = fmt.Errorf("scheduler of %s is still active", now.name)
@@ -154,8 +160,8 @@
 		}
 		return err
 	})
-	s.waitFor("end of the gang", 20*time.Second, func() error { return s.inState("long", jobs.StateCompleted) })
-	if n := s.releases("long"); n != 2 {
+	s.waitFor("end of the gang", 20*time.Second, func() error { return s.checkJobState("long", jobs.StateCompleted) })
+	if n := s.countReleases("long"); n != 2 {
 		t.Errorf("members were released %d times, want 2", n)
 	}
 }
--- a/processtest/requests_test.go
+++ b/processtest/requests_test.go
@@ -15,7 +15,7 @@
 	"github.com/redwingthread/redwingthread/operatorclient"
 )
 
-// balancer sends requests to the gateways that were ready at its last look.
+// balancer simulates a load balancer. It chooses among the gateways that were ready when it last polled them.
 type balancer struct {
 	s    *system
 	next atomic.Uint64
@@ -25,9 +25,10 @@
 	ready []*vm
 }
 
-// follow looks at every gateway until ctx ends. A look may take reactionTime together with its pause.
-func (b *balancer) follow(ctx context.Context) {
-	client := &http.Client{Timeout: reactionTime / 4}
+// pollReadiness polls the readiness of all gateways until ctx ends. One round with its pause may take
+// balancerReactionTime.
+func (b *balancer) pollReadiness(ctx context.Context) {
+	client := &http.Client{Timeout: balancerReactionTime / 4}
 	for ctx.Err() == nil {
 		var ready []*vm
 		for _, v := range b.s.vms {
@@ -43,10 +44,11 @@
 		b.mu.Lock()
 		b.ready = ready
 		b.mu.Unlock()
-		time.Sleep(reactionTime / 10)
+		time.Sleep(balancerReactionTime / 10)
 	}
 }
 
+// pick returns the next ready gateway in turn; nil if none is ready.
 func (b *balancer) pick() *vm {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,10 +58,10 @@
 	return b.ready[b.next.Add(1)%uint64(len(b.ready))]
 }
 
-// runsOf returns how often each path ran on all endpoints together.
-func (s *system) runsOf() map[string]int {
+// runsByPath returns how often each path ran, summed over all endpoints.
+func (s *system) runsByPath() map[string]int {
 	runs := make(map[string]int)
-	for _, endpoint := range s.set.Endpoints {
+	for _, endpoint := range s.standins.Endpoints {
 		for _, run := range endpoint.Runs() {
 			runs[run.Path] += run.Count
 		}
@@ -67,14 +69,15 @@
 	return runs
 }
 
-// load sends orders through the balancer until ctx ends and returns the paths that completed and the failures.
-func (s *system) load(ctx context.Context, b *balancer, workers int) (completed []string, failures []error) {
+// sendOrders sends orders from concurrent callers through the balancer until ctx ends. It returns the paths of the
+// completed orders and the errors of the others.
+func (s *system) sendOrders(ctx context.Context, b *balancer, callers int) (completed []string, failures []error) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	for w := range workers {
+	for c := range callers {
 		group.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
-				path := fmt.Sprintf("/order/%d/%d", w, i)
+				path := fmt.Sprintf("/order/%d/%d", c, i)
 				err := s.sendOrder(b, path)
 				mu.Lock()
 				if err == nil {
@@ -104,13 +107,13 @@
 	return nil
 }
 
-// TestRollingReplacementCutsNothing guards against a planned stop that cuts or repeats an order, while all 6 entry VMs
+// TestRollingReplacementCutsNothing guards against a graceful shutdown that drops or repeats an order. All 6 entry VMs
 // are replaced one after another under load.
 func TestRollingReplacementCutsNothing(t *testing.T) {
 	s := startSystem(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	b := &balancer{s: s}
-	go b.follow(ctx)
+	go b.pollReadiness(ctx)
 	s.waitFor("ready gateways", 5*time.Second, func() error {
 		if b.pick() == nil {
 			return errors.New("none")
@@ -121,13 +124,13 @@
 	go func() {
 		defer close(replaced)
 		for _, v := range s.vms {
-			s.stop(v.scheduler)
-			s.stop(v.gateway)
+			s.stopGracefully(v.scheduler)
+			s.stopGracefully(v.gateway)
 			s.startGateway(v)
 			s.startScheduler(v)
-			// The next VM follows when this one is ready, as in a rolling upgrade.
+			// As in a rolling upgrade, the next VM is replaced once this one is ready.
 			for range 500 {
-				if s.healthy(v) == nil {
+				if s.checkHealthy(v) == nil {
 					break
 				}
 				time.Sleep(20 * time.Millisecond)
@@ -135,15 +138,15 @@
 		}
 		cancel()
 	}()
-	completed, failures := s.load(ctx, b, 8)
+	completed, failures := s.sendOrders(ctx, b, 8)
 	<-replaced
 	for _, err := range failures {
-		t.Errorf("cut or refused: %v", err)
+		t.Errorf("order failed during the replacement: %v", err)
 	}
-	runs := s.runsOf()
+	runs := s.runsByPath()
 	for _, path := range completed {
 		if runs[path] != 1 {
-			t.Errorf("%s completed and ran %d times", path, runs[path])
+			t.Errorf("%s completed but ran %d times", path, runs[path])
 		}
 	}
 	for path, n := range runs {
@@ -157,11 +160,11 @@
 	for _, line := range s.violations() {
 		t.Error(line)
 	}
-	t.Logf("%d orders completed, %d cut, during the replacement of 6 VMs", len(completed), len(failures))
+	t.Logf("%d orders completed and %d failed during the replacement of 6 VMs", len(completed), len(failures))
 }
 
-// TestFrozenGatewayRunsKeysOnce guards against an order that runs twice when its gateway freezes with SIGSTOP, the
-// caller repeats it at other gateways, and the gateway resumes.
+// TestFrozenGatewayRunsKeysOnce guards against an order that runs twice: the gateway that owns its key is frozen with
+// SIGSTOP, the caller repeats the order at another gateway, and the frozen gateway resumes.
 func TestFrozenGatewayRunsKeysOnce(t *testing.T) {
 	s := startSystem(t)
 	frozen, other := s.vms[0], s.vms[2]
@@ -179,27 +182,27 @@
 			Target: fmt.Sprintf("orders/frozen/%d", i), Key: keys[i], TimeoutMS: 1_500})
 		return err
 	}
-	var first sync.WaitGroup
+	var frozenSends sync.WaitGroup
 	for i := range keys {
-		first.Go(func() {
+		frozenSends.Go(func() {
 			time.Sleep(time.Duration(i) * 10 * time.Millisecond)
 			send(frozen, i)
 		})
 	}
 	time.Sleep(100 * time.Millisecond)
 	frozen.gateway.Process.Signal(syscall.SIGSTOP)
-	notRun := 0
+	notUnknown := 0
 	for i := range keys {
 		err := send(other, i)
 		if err == nil {
-			t.Errorf("order %d completed at another gateway while its owner was frozen", i)
+			t.Errorf("order %d completed at another gateway while the gateway that owns its key was frozen", i)
 		}
 		if !errkind.Is(err, errkind.Unknown) {
-			notRun++
+			notUnknown++
 		}
 	}
 	frozen.gateway.Process.Signal(syscall.SIGCONT)
-	first.Wait()
+	frozenSends.Wait()
 	for i := range keys {
 		s.waitFor(fmt.Sprintf("order %d", i), 10*time.Second, func() error {
 			if err := send(other, i); err != nil && !errkind.Is(err, errkind.Unknown) {
@@ -208,13 +211,13 @@
 			return nil
 		})
 	}
-	for path, n := range s.runsOf() {
+	for path, n := range s.runsByPath() {
 		if n > 1 {
 			t.Errorf("%s ran %d times", path, n)
 		}
 	}
-	if notRun > 0 {
-		t.Errorf("%d orders were refused as not run by a gateway that does not own their keys", notRun)
+	if notUnknown > 0 {
+		t.Errorf("%d orders did not get the outcome unknown from a gateway that does not own their keys", notUnknown)
 	}
 	for _, line := range s.violations() {
 		t.Error(line)
--- a/processtest/system_test.go
+++ b/processtest/system_test.go
@@ -1,5 +1,5 @@
-// Package processtest runs the daemons as processes on loopback, with the stand-ins in the test process, and hits them
-// with real signals and cuts.
+// Package processtest tests the daemons as separate processes on loopback. The stand-ins run in the test process. The
+// tests inject faults with real signals and by cutting processes off from stand-ins.
 package processtest
 
 import (
@@ -29,19 +29,20 @@
 const (
 	workersPerDomain   = 4
 	endpointsPerDomain = 2
-	// reactionTime is how long the balancer of the tests takes to notice an unready gateway.
-	reactionTime = 500 * time.Millisecond
-	callTimeout  = 12 * time.Second
-	// operatorToken and accountToken are credentials of the tests.
+	// balancerReactionTime is how long the load balancer of the tests may take to notice an unready gateway.
+	balancerReactionTime = 500 * time.Millisecond
+	requestTimeout       = 12 * time.Second
+	// operatorToken and accountToken are the credentials that the tests use.
 	operatorToken = "operator-token-of-the-process-tests"
 	accountToken  = "account-token-of-the-process-tests"
-	// daemonVariable makes the test binary run a daemon instead of the tests.
-	daemonVariable = "REDWING_PROCESSTEST_DAEMON"
+	// daemonEnvVar is the environment variable that makes the test binary run a daemon instead of the tests. Its value
+	// is ROLE=PATH, where PATH is the settings file.
+	daemonEnvVar = "REDWING_PROCESSTEST_DAEMON"
 )
 
-// TestMain runs a daemon if the test binary was started as one.
+// TestMain runs a daemon instead of the tests if daemonEnvVar is set.
 func TestMain(m *testing.M) {
-	role, path, ok := strings.Cut(os.Getenv(daemonVariable), "=")
+	role, path, ok := strings.Cut(os.Getenv(daemonEnvVar), "=")
 	if !ok {
 		os.Exit(m.Run())
 	}
@@ -61,7 +62,7 @@
 	}))
 }
 
-// vm is one entry VM with its two daemons.
+// vm is an entry VM with its addresses, daemons and settings files.
 type vm struct {
 	name, domain                       string
 	inner, metrics, callers, operators string
@@ -70,44 +71,46 @@
 	gatewaySettings, schedulerSettings string
 }
 
-// system is a running deployment of 3 failure domains.
+// system is a running deployment with 3 failure domains.
 type system struct {
-	t   *testing.T
-	dir string
-	set *standin.Set
-	vms []*vm
+	t        *testing.T
+	dir      string
+	standins *standin.Set
+	vms      []*vm
 }
 
-// firstPort and lastPort bound the ports of the daemons. They are below the range from which the kernel takes the ports
-// of outgoing connections and of listeners on port 0, which could take a port between its choice and its use.
+// firstPort and lastPort bound the ports of the daemons. They are below the ephemeral port range, from which the kernel
+// assigns ports to outgoing connections and to listeners on port 0. A port from that range could be assigned to another
+// socket between its selection and its use.
 const (
 	firstPort = 10_000
 	lastPort  = 30_000
 )
 
-// portCursor is the next port to try; systems of parallel tests must not be given the same one.
-var portCursor atomic.Int64
+// lastTriedPort is the port that freeAddresses tried last. It is shared, so that the systems of parallel tests get
+// different ports.
+var lastTriedPort atomic.Int64
 
-func init() { portCursor.Store(int64(firstPort + rand.IntN((lastPort-firstPort)/2))) }
+func init() { lastTriedPort.Store(int64(firstPort + rand.IntN((lastPort-firstPort)/2))) }
 
 // freeAddresses returns n loopback addresses whose ports are free for TCP and UDP.
 func freeAddresses(t *testing.T, n int) []string {
 	t.Helper()
 	var addresses []string
 	for len(addresses) < n {
-		port := portCursor.Add(1)
+		port := lastTriedPort.Add(1)
 		if port > lastPort {
 			t.Fatalf("found %d of %d free ports", len(addresses), n)
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", port)
-		if isFree(address) {
+		if isAddressFree(address) {
 			addresses = append(addresses, address)
 		}
 	}
 	return addresses
 }
 
-func isFree(address string) bool {
+func isAddressFree(address string) bool {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
@@ -121,18 +124,19 @@
 	return true
 }
 
-// systems bounds the systems that run at once. A system has 12 processes, and the tests check times.
-var systems = make(chan struct{}, 3)
+// systemSlots limits the number of systems that run at once. A system has 12 processes, and the tests check time
+// bounds, which an overloaded machine would not meet.
+var systemSlots = make(chan struct{}, 3)
 
-// startSystem starts 3 failure domains of 2 entry VMs and initialises the configuration. Failure domain fd-c reaches the
-// log through a gate named "cut".
+// startSystem starts 3 failure domains with 2 entry VMs each and initialises the configuration. The daemons of failure
+// domain fd-c reach the log through a gate named "cut". The system is stopped at the end of the test.
 func startSystem(t *testing.T) *system {
 	t.Helper()
 	t.Parallel()
-	systems <- struct{}{}
-	t.Cleanup(func() { <-systems })
+	systemSlots <- struct{}{}
+	t.Cleanup(func() { <-systemSlots })
 	s := &system{t: t, dir: t.TempDir()}
-	s.placeVMs()
+	s.createVMs()
 	s.startStandins()
 	s.writeSettings()
 	t.Cleanup(s.close)
@@ -144,7 +148,8 @@
 	return s
 }
 
-func (s *system) placeVMs() {
+// createVMs assigns names, failure domains and addresses to the entry VMs and writes their certificates.
+func (s *system) createVMs() {
 	names := []string{"vm-a1", "vm-a2", "vm-b1", "vm-b2", "vm-c1", "vm-c2"}
 	addresses := freeAddresses(s.t, 6*len(names))
 	for i, name := range names {
@@ -176,15 +181,15 @@
 		all.Endpoints = append(all.Endpoints, standin.EndpointSettings{ID: "e-" + domain, Count: endpointsPerDomain,
 			FailureDomain: domain, Address: anyPort, WorkMS: 5})
 	}
-	set, err := standin.Start(all)
+	standins, err := standin.Start(all)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.set = set
+	s.standins = standins
 }
 
-// document returns version 0.
-func (s *system) document() *config.Document {
+// initialDocument returns the configuration document of version 0.
+func (s *system) initialDocument() *config.Document {
 	doc := &config.Document{
 		FailureDomains: map[string]config.FailureDomain{}, Workers: map[string]resource.Worker{},
 		Accounts: map[string]config.Account{"orders": {Name: "orders", Weight: 1,
@@ -202,11 +207,11 @@
 			id := fmt.Sprintf("w-%s-%d", domain, i)
 			doc.Workers[id] = resource.Worker{ID: id, FailureDomain: domain, Rack: "rack-" + domain,
 				Capacity: resource.Resources{Accelerators: 8, MilliCPU: 32_000, MemoryMB: 65_536},
-				Address:  s.set.Address(id)}
+				Address:  s.standins.Address(id)}
 		}
 		for i := 1; i <= endpointsPerDomain; i++ {
 			id := fmt.Sprintf("e-%s-%d", domain, i)
-			service.Endpoints[id] = config.Endpoint{ID: id, FailureDomain: domain, Address: s.set.Address(id), Slots: 8,
+			service.Endpoints[id] = config.Endpoint{ID: id, FailureDomain: domain, Address: s.standins.Address(id), Slots: 8,
 				MaxConnections: 64}
 		}
 	}
@@ -233,11 +238,11 @@
 		}
 		common := fmt.Sprintf("failure_domain = %q\nvm = %q\n[platform]\nlog_url = \"http://%s\"\nvm_list_url = \"http://%s\"\n"+
 			"[tls]\ncertificate = \"keys/%s.pem\"\nkey = \"keys/%s.key\"\nca = \"keys/ca.pem\"\n%s", v.domain, v.name,
-			s.set.Address(logService), s.set.Address("vm_list"), v.name, v.name, peers.String())
+			s.standins.Address(logService), s.standins.Address("vm_list"), v.name, v.name, peers.String())
 		v.gatewaySettings = s.writeFile(v.name+"-gateway.toml", common+fmt.Sprintf(
 			"[listen]\ninner = %q\nmetrics = %q\ncallers = %q\noperators = %q\n[shutdown]\ndrain_ms = %d\nfinish_ms = 10000\n"+
 				"[bootstrap]\noperator_token_digest = %q\n", v.inner, v.metrics, v.callers, v.operators,
-			2*reactionTime.Milliseconds(), config.TokenDigest(operatorToken)))
+			2*balancerReactionTime.Milliseconds(), config.TokenDigest(operatorToken)))
 		v.schedulerSettings = s.writeFile(v.name+"-scheduler.toml", common+fmt.Sprintf(
 			"[listen]\ninner = %q\nmetrics = %q\n", v.schedulerInner, v.schedulerMetrics))
 	}
@@ -251,15 +256,15 @@
 	return path
 }
 
-// start runs the test binary as a daemon; its log lines are appended to NAME.log.
-func (s *system) start(role, settingsPath, name string) *exec.Cmd {
+// startDaemon runs the test binary as a daemon, whose log lines are appended to NAME.log.
+func (s *system) startDaemon(role, settingsPath, name string) *exec.Cmd {
 	file, err := os.OpenFile(filepath.Join(s.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	defer file.Close()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), daemonVariable+"="+role+"="+settingsPath)
+	cmd.Env = append(os.Environ(), daemonEnvVar+"="+role+"="+settingsPath)
 	cmd.Stderr = file
 	if err := cmd.Start(); err != nil {
 		s.t.Fatal(err)
@@ -268,18 +273,18 @@
 }
 
 func (s *system) startGateway(v *vm) {
-	v.gateway = s.start(settings.RoleGateway, v.gatewaySettings, v.name+"-gateway")
+	v.gateway = s.startDaemon(settings.RoleGateway, v.gatewaySettings, v.name+"-gateway")
 }
 
 func (s *system) startScheduler(v *vm) {
-	v.scheduler = s.start(settings.RoleScheduler, v.schedulerSettings, v.name+"-scheduler")
+	v.scheduler = s.startDaemon(settings.RoleScheduler, v.schedulerSettings, v.name+"-scheduler")
 }
 
-// stop sends SIGTERM and fails the test unless the process ends by itself with code 0.
-func (s *system) stop(cmd *exec.Cmd) {
+// stopGracefully sends SIGTERM and fails the test unless the process exits with code 0.
+func (s *system) stopGracefully(cmd *exec.Cmd) {
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		s.t.Errorf("planned stop: %v", err)
+		s.t.Errorf("graceful shutdown: %v", err)
 	}
 }
 
@@ -298,14 +303,14 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	s.set.Close(ctx)
+	s.standins.Close(ctx)
 	if s.t.Failed() {
-		s.showWarnings()
+		s.logWarnings()
 	}
 }
 
-// showWarnings prints the log lines above level info, and those of violated invariants first of all.
-func (s *system) showWarnings() {
+// logWarnings prints the log lines of all daemons that are not of level info, such as those of violated invariants.
+func (s *system) logWarnings() {
 	for _, v := range s.vms {
 		for _, name := range []string{v.name + "-gateway", v.name + "-scheduler"} {
 			text, _ := os.ReadFile(filepath.Join(s.dir, name+".log"))
@@ -318,7 +323,7 @@
 	}
 }
 
-// violations returns the log lines of violated invariants of all daemons.
+// violations returns the log lines of all daemons that report a violated invariant.
 func (s *system) violations() []string {
 	var found []string
 	for _, v := range s.vms {
@@ -335,14 +340,15 @@
 }
 
 func (s *system) operator(v *vm) *operatorclient.Client {
-	return operatorclient.New(v.operators, operatorToken, callTimeout)
+	return operatorclient.New(v.operators, operatorToken, requestTimeout)
 }
 
 func (s *system) caller(v *vm) *operatorclient.Caller {
-	return operatorclient.NewCaller(v.callers, accountToken, callTimeout)
+	return operatorclient.NewCaller(v.callers, accountToken, requestTimeout)
 }
 
-// waitFor repeats check until it gives no error, or fails the test after the bound.
+// waitFor polls check until it returns no error and returns the time that this took. It fails the test if check still
+// returns an error after bound.
 func (s *system) waitFor(what string, bound time.Duration, check func() error) time.Duration {
 	s.t.Helper()
 	began := time.Now()
@@ -352,14 +358,14 @@
 			return time.Since(began)
 		}
 		if time.Since(began) > bound {
-			s.t.Fatalf("%s did not come within %v: %v", what, bound, err)
+			s.t.Fatalf("timed out waiting for %s after %v: %v", what, bound, err)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
 func (s *system) initialise() {
-	raw, err := json.Marshal(s.document())
+	raw, err := json.Marshal(s.initialDocument())
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -369,7 +375,7 @@
 	})
 	s.waitFor("readiness", 20*time.Second, func() error {
 		for _, v := range s.vms {
-			if err := s.healthy(v); err != nil {
+			if err := s.checkHealthy(v); err != nil {
 				return err
 			}
 		}
@@ -377,8 +383,8 @@
 	})
 }
 
-// healthy reports why v is not ready or does not see 3 active schedulers.
-func (s *system) healthy(v *vm) error {
+// checkHealthy returns an error if the gateway of v is not ready or does not know 3 active schedulers.
+func (s *system) checkHealthy(v *vm) error {
 	health, err := s.operator(v).Health(s.t.Context())
 	if err != nil {
 		return err
