--- a/devcerts/devcerts.go
+++ b/devcerts/devcerts.go
@@ -1,5 +1,5 @@
-// Package devcerts makes keys and certificates for trials on one machine. They are not meant for production: the
-// authority's key is dropped, so no certificate can be added later.
+// Package devcerts creates keys and certificates for trials on one machine. They are not meant for production: the key
+// of the certificate authority is discarded, so no certificate can be added later.
 package devcerts
 
 import (
@@ -18,23 +18,24 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// Lifetime is how long the certificates are valid.
+// Lifetime is the time from creation to expiry of the certificates.
 const Lifetime = 30 * 24 * time.Hour
 
-// clockSkew is how long before now the certificates become valid.
+// clockSkew is the tolerated difference between clocks: certificates are valid from this long before their creation.
 const clockSkew = time.Hour
 
-// Write makes an authority and one certificate for each name, valid for the IP numbers, and writes ca.pem, NAME.pem and
-// NAME.key into dir. It returns the paths of the files.
+// Write creates a certificate authority and, for each name, a key and a certificate that is valid for the name and the
+// IP addresses. It writes ca.pem, NAME.pem and NAME.key into dir, which it creates if necessary, and returns the paths
+// of the files. An error is of kind errkind.BadInput if dir is not writable, else errkind.Internal.
 func Write(dir string, names []string, ips []net.IP, now time.Time) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, errkind.Wrap(err, errkind.BadInput, "name a directory that can be written", "directory %s", dir)
+		return nil, errkind.Wrap(err, errkind.BadInput, "use a writable directory", "create directory %s", dir)
 	}
 	caKey, err := newKey()
 	if err != nil {
 		return nil, err
 	}
-	ca := template(1, "redwingthread development authority", now)
+	ca := newTemplate(1, "redwingthread development authority", now)
 	ca.IsCA = true
 	ca.BasicConstraintsValid = true
 	ca.KeyUsage = x509.KeyUsageCertSign
@@ -48,7 +49,7 @@
 		if err != nil {
 			return nil, err
 		}
-		leaf := template(int64(i)+2, name, now)
+		leaf := newTemplate(int64(i)+2, name, now)
 		leaf.KeyUsage = x509.KeyUsageDigitalSignature
 		leaf.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
 		leaf.DNSNames = []string{name}
@@ -70,7 +71,8 @@
 	return key, errkind.Wrap(err, errkind.Internal, "retry", "generate key")
 }
 
-func template(serial int64, name string, now time.Time) *x509.Certificate {
+// newTemplate returns the fields that all certificates have in common.
+func newTemplate(serial int64, name string, now time.Time) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(serial),
 		Subject:      pkix.Name{CommonName: name},
@@ -79,10 +81,11 @@
 	}
 }
 
-func writeCertificate(path string, leaf, ca *x509.Certificate, key, caKey *ecdsa.PrivateKey) error {
-	der, err := x509.CreateCertificate(rand.Reader, leaf, ca, &key.PublicKey, caKey)
+// writeCertificate writes a certificate for the public key of key, signed by the issuer.
+func writeCertificate(path string, certificate, issuer *x509.Certificate, key, issuerKey *ecdsa.PrivateKey) error {
+	der, err := x509.CreateCertificate(rand.Reader, certificate, issuer, &key.PublicKey, issuerKey)
 	if err != nil {
-		return errkind.Wrap(err, errkind.Internal, "report this", "certificate %s", path)
+		return errkind.Wrap(err, errkind.Internal, "report this as a bug", "create certificate %s", path)
 	}
 	return writePEM(path, "CERTIFICATE", der, 0o644)
 }
@@ -90,13 +93,13 @@
 func writeKey(path string, key *ecdsa.PrivateKey) error {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return errkind.Wrap(err, errkind.Internal, "report this", "key %s", path)
+		return errkind.Wrap(err, errkind.Internal, "report this as a bug", "encode key %s", path)
 	}
 	return writePEM(path, "PRIVATE KEY", der, 0o600)
 }
 
-func writePEM(path, kind string, der []byte, mode os.FileMode) error {
-	text := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
-	return errkind.Wrap(os.WriteFile(path, text, mode), errkind.BadInput, "name a directory that can be written",
+func writePEM(path, blockType string, der []byte, mode os.FileMode) error {
+	data := pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
+	return errkind.Wrap(os.WriteFile(path, data, mode), errkind.BadInput, "use a writable directory",
 		"write %s", path)
 }
--- a/devcerts/devcerts_test.go
+++ b/devcerts/devcerts_test.go
@@ -10,16 +10,17 @@
 	"github.com/redwingthread/redwingthread/inner"
 )
 
-// echo answers heartbeats with their own content.
-type echo struct{}
+// echoHandler responds to a heartbeat with that heartbeat, after it has set the authenticated sender in it.
+type echoHandler struct{}
 
-func (echo) Handle(_ context.Context, from inner.Member, r *inner.Request) (*inner.Response, error) {
+func (echoHandler) Handle(_ context.Context, from inner.Member, r *inner.Request) (*inner.Response, error) {
 	r.Heartbeat.Member = from
 	return &inner.Response{Heartbeat: r.Heartbeat}, nil
 }
 
-// TestKeysServeTheInnerProtocol guards against certificates that the daemons refuse or take for another VM's.
-func TestKeysServeTheInnerProtocol(t *testing.T) {
+// TestCertificatesIdentifyVMs guards against certificates that the inner protocol of the daemons rejects or attributes
+// to another VM.
+func TestCertificatesIdentifyVMs(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "keys")
 	files, err := Write(dir, []string{"vm-1", "vm-2"}, []net.IP{net.IPv4(127, 0, 0, 1)}, time.Now())
 	if err != nil || len(files) != 5 {
@@ -36,7 +37,7 @@
 		}
 		stores = append(stores, store)
 	}
-	server, err := inner.Listen("127.0.0.1:0", stores[0], echo{})
+	server, err := inner.Listen("127.0.0.1:0", stores[0], echoHandler{})
 	if err != nil {
 		t.Fatal(err)
 	}
