--- a/resource/resource.go
+++ b/resource/resource.go
@@ -67,15 +67,16 @@
 func (s Shape) Total() Resources { return s.PerMember.Times(s.Members) }
 
 // Validate returns a BadInput error that describes the first invalid value of the shape; nil if the shape is valid.
+// The texts of the error are stored in records of jobs and of the configuration, so their wording must stay stable.
 func (s Shape) Validate() error {
 	if s.Members < 1 || s.Members > MaxMembers {
-		return errkind.New(errkind.BadInput, fmt.Sprintf("request 1 to %d members", MaxMembers),
+		return errkind.New(errkind.BadInput, fmt.Sprintf("ask for 1 to %d members", MaxMembers),
 			"shape has %d members", s.Members)
 	}
 	p := s.PerMember
 	if p.Accelerators < 0 || p.MilliCPU < 0 || p.MemoryMB < 0 || p.IsZero() {
-		return errkind.New(errkind.BadInput, "request at least one resource per member and no negative amount",
-			"shape requests %d accelerators, %d milli-CPU and %d MB per member", p.Accelerators, p.MilliCPU, p.MemoryMB)
+		return errkind.New(errkind.BadInput, "ask for at least one resource per member and no negative amount",
+			"shape asks for %d accelerators, %d milli-CPU and %d MB per member", p.Accelerators, p.MilliCPU, p.MemoryMB)
 	}
 	switch s.Adjacency {
 	case AdjacencyNone, AdjacencyRack, AdjacencyWorker:
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -22,7 +22,8 @@
 	return nil
 }
 
-// validate rejects a job that can never run.
+// validate rejects a job that can never run. The texts of its errors are stored in job records, so their wording must
+// stay stable.
 func (c *Core) validate(spec jobs.Job) error {
 	if err := spec.Shape.Validate(); err != nil {
 		return err
@@ -42,7 +43,7 @@
 	}
 	if !c.fitsEmptyWorkers(s) {
 		return errkind.New(errkind.Infeasible, "ask for a smaller shape or looser adjacency",
-			"the workers of failure domain %s cannot hold %s", c.failureDomain, shapeText(s))
+			"no workers of failure domain %s hold %s", c.failureDomain, shapeText(s))
 	}
 	return nil
 }
@@ -184,7 +185,8 @@
 	c.releaseCell(j)
 }
 
-// finish moves a job to a final state.
+// finish moves a job to a final state. The reason can be stored in job records, so the wording of reasons must stay
+// stable.
 func (c *Core) finish(j *job, state jobs.State, reason string) {
 	j.state = state
 	j.reason = reason
--- a/scheduler/why.go
+++ b/scheduler/why.go
@@ -153,7 +153,8 @@
 // ago formats the time since t.
 func (c *Core) ago(t time.Time) string { return c.now.Sub(t).Round(time.Millisecond).String() }
 
-// shapeText describes a shape in one line.
+// shapeText describes a shape in one line. Submit uses it in an error whose text is stored in job records, so its
+// wording must stay stable.
 func shapeText(s resource.Shape) string {
 	return fmt.Sprintf("%d members of %s, adjacency %s", s.Members, memberText(s.PerMember), s.Adjacency)
 }
