--- a/joblog/joblog_test.go
+++ b/joblog/joblog_test.go
@@ -164,8 +164,8 @@
 func TestWriterTellsRefusedFromUnknown(t *testing.T) {
 	log := storetest.New()
 	w := NewWriter(log, &store.Hedge{})
-	log.SetFault(func(string) (error, bool) { return store.ErrNotDone, false })
-	if err := w.Submit(t.Context(), job("a")); !errors.Is(err, store.ErrNotDone) || errors.Is(err, store.ErrUnknown) {
+	log.SetFault(func(string) (error, bool) { return store.ErrNotExecuted, false })
+	if err := w.Submit(t.Context(), job("a")); !errors.Is(err, store.ErrNotExecuted) || errors.Is(err, store.ErrUnknown) {
 		t.Errorf("refused: %v", err)
 	}
 	var calls atomic.Int64
@@ -173,7 +173,7 @@
 		if calls.Add(1) == 1 {
 			return store.ErrUnknown, false
 		}
-		return store.ErrNotDone, false
+		return store.ErrNotExecuted, false
 	})
 	if err := w.Submit(t.Context(), job("b")); !errors.Is(err, store.ErrUnknown) {
 		t.Errorf("unknown, then refused: %v", err)
@@ -201,7 +201,7 @@
 		case n <= 3:
 			return store.ErrUnknown, false
 		case n <= 8:
-			return store.ErrNotDone, false
+			return store.ErrNotExecuted, false
 		}
 		return nil, true
 	})
--- a/joblog/writer.go
+++ b/joblog/writer.go
@@ -43,13 +43,13 @@
 	return w
 }
 
-// Submit stores a submission. It returns nil once the submission is stored, an error that matches store.ErrNotDone if it is
-// not stored and never will be, or one that matches store.ErrUnknown if the outcome was still unknown when ctx ended or the
-// retries were exhausted.
+// Submit stores a submission. It returns nil once the submission is stored, an error that matches store.ErrNotExecuted
+// if it is not stored and never will be, or one that matches store.ErrUnknown if the outcome was still unknown when ctx
+// ended or the retries were exhausted.
 func (w *Writer) Submit(ctx context.Context, job *workload.Job) error {
 	record, err := SubmissionRecord(job)
 	if err != nil {
-		return errors.Join(store.ErrNotDone, err)
+		return errors.Join(store.ErrNotExecuted, err)
 	}
 	return w.write(ctx, job.ID, record)
 }
@@ -160,7 +160,7 @@
 	if err == nil {
 		return nil, true
 	}
-	if errors.Is(err, store.ErrNotDone) {
+	if errors.Is(err, store.ErrNotExecuted) {
 		i.refused++
 	} else {
 		i.uncertain = true
--- a/leader/journal_test.go
+++ b/leader/journal_test.go
@@ -82,7 +82,7 @@
 		lost  bool
 	}{
 		"refused number": {nil, false},
-		"not executed":   {store.ErrNotDone, true},
+		"not executed":   {store.ErrNotExecuted, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -124,7 +124,7 @@
 			case 1:
 				return store.ErrUnknown, false
 			case 2:
-				return store.ErrNotDone, false
+				return store.ErrNotExecuted, false
 			}
 			return nil, true
 		})
--- a/node/frontend.go
+++ b/node/frontend.go
@@ -99,7 +99,7 @@
 	if err == nil {
 		return nil
 	}
-	if errors.Is(err, store.ErrNotDone) && !errors.Is(err, store.ErrUnknown) {
+	if errors.Is(err, store.ErrNotExecuted) && !errors.Is(err, store.ErrUnknown) {
 		return errkind.Wrap(err, errkind.Unavailable, "try again at another VM", "the store refused the write")
 	}
 	if _, known := n.view.Get(id); known {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -178,7 +178,7 @@
 func TestRefusedAppendFailsFast(t *testing.T) {
 	log, v := newConfiguredVM(t)
 	access := v.access()
-	failAppends(log, store.ErrNotDone)
+	failAppends(log, store.ErrNotExecuted)
 	startedAt := time.Now()
 	if err := v.Submit(t.Context(), access, testJob()); !errkind.Is(err, errkind.Unavailable) {
 		t.Fatalf("Submit returned %v, want unavailable", err)
--- a/store/hedge_test.go
+++ b/store/hedge_test.go
@@ -55,9 +55,9 @@
 		"first answer lost":                {[]response{{0, errNoResponse}, {usual, nil}}, 150 * time.Millisecond, 2, nil},
 		"three answers lost":               {[]response{{0, errNoResponse}, {0, errNoResponse}, {0, errNoResponse}, {usual, nil}}, 500 * time.Millisecond, 4, nil},
 		"no answer":                        {[]response{{0, errNoResponse}}, requestTimeout, 4, store.ErrUnknown},
-		"refused at once":                  {[]response{{usual, store.ErrNotDone}}, usual, 1, store.ErrNotDone},
+		"refused at once":                  {[]response{{usual, store.ErrNotExecuted}}, usual, 1, store.ErrNotExecuted},
 		"fenced":                           {[]response{{usual, store.ErrFenced}}, usual, 1, store.ErrFenced},
-		"lost, then refused":               {[]response{{0, errNoResponse}, {usual, store.ErrNotDone}}, requestTimeout, 4, store.ErrUnknown},
+		"lost, then refused":               {[]response{{0, errNoResponse}, {usual, store.ErrNotExecuted}}, requestTimeout, 4, store.ErrUnknown},
 		"lost, then refused for its epoch": {[]response{{0, errNoResponse}, {usual, store.ErrFenced}}, 150 * time.Millisecond, 2, store.ErrFenced},
 	}
 	for name, c := range cases {
--- a/store/store.go
+++ b/store/store.go
@@ -11,8 +11,8 @@
 
 // Errors of requests to the store.
 var (
-	// ErrNotDone means that the store refused the request or never received it; it had no effect and will have none.
-	ErrNotDone = errors.New("store: the call was not executed")
+	// ErrNotExecuted means that the store refused the request or never received it; it had no effect and will have none.
+	ErrNotExecuted = errors.New("store: the call was not executed")
 	// ErrUnknown means that no usable response arrived; the request may have been executed, or may be executed later.
 	ErrUnknown = errors.New("store: the outcome of the call is unknown")
 	// ErrFenced means that an append was rejected because the producer has a higher epoch.
@@ -112,7 +112,7 @@
 	Holds bool
 }
 
-// Log is the client of the store. Its errors match ErrNotDone, ErrUnknown or a more specific error of this package.
+// Log is the client of the store. Its errors match ErrNotExecuted, ErrUnknown or a more specific error of this package.
 type Log interface {
 	// Append adds the records to the stream, all or none. producer may be nil. An append without records registers the
 	// producer's epoch.
--- a/store/storetest/fake.go
+++ b/store/storetest/fake.go
@@ -292,8 +292,8 @@
 	return nil
 }
 
-// Redeal reassigns the group's part, as the platform's store sometimes does spontaneously.
-func (f *Fake) Redeal(name string) {
+// Rebalance reassigns the group's part, as the platform's store sometimes does spontaneously.
+func (f *Fake) Rebalance(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	g := f.group(name)
