--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -340,7 +340,7 @@
 		for i, s := range steps {
 			exported[i] = s.export()
 		}
-		state.Runs = append(state.Runs, exported)
+		state.Repetitions = append(state.Repetitions, exported)
 	}
 	return state
 }
@@ -397,11 +397,11 @@
 // expiry of the worker's lease shows otherwise.
 func (c *Core) restore(j *job, state *workload.JobState) {
 	j.phase = state.Phase
-	if len(state.Runs) > j.spec.Runs() {
+	if len(state.Repetitions) > j.spec.RepetitionCount() {
 		return
 	}
-	j.createRepetitions(len(state.Runs) - 1)
-	for k, steps := range state.Runs {
+	j.createRepetitions(len(state.Repetitions) - 1)
+	for k, steps := range state.Repetitions {
 		for i := range min(len(steps), len(j.repetitions[k])) {
 			c.restoreStep(j.repetitions[k][i], &steps[i])
 		}
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -73,7 +73,7 @@
 func (c *Core) NextDue() time.Time {
 	var next time.Time
 	for _, j := range c.queue {
-		if j.phase.Final() || len(j.repetitions) >= j.spec.Runs() {
+		if j.phase.Final() || len(j.repetitions) >= j.spec.RepetitionCount() {
 			continue
 		}
 		due := j.spec.DueAt(len(j.repetitions))
@@ -106,7 +106,7 @@
 
 // createDueRepetitions creates the steps of the job's repetitions that are due.
 func (c *Core) createDueRepetitions(j *job) {
-	for k := len(j.repetitions); k < j.spec.Runs(); k++ {
+	for k := len(j.repetitions); k < j.spec.RepetitionCount(); k++ {
 		if j.spec.Scheduled() && c.wall.Before(j.spec.DueAt(k).Add(dueMargin)) {
 			return
 		}
--- a/dispatch/units.go
+++ b/dispatch/units.go
@@ -253,7 +253,7 @@
 }
 
 func (c *Core) completeJobIfDone(j *job) {
-	if len(j.repetitions) < j.spec.Runs() {
+	if len(j.repetitions) < j.spec.RepetitionCount() {
 		return
 	}
 	for _, steps := range j.repetitions {
--- a/workload/job.go
+++ b/workload/job.go
@@ -75,8 +75,8 @@
 	AcceptedAt time.Time
 }
 
-// Runs returns how many times the steps of the job run, at least 1.
-func (j *Job) Runs() int { return max(1, j.Repetitions) }
+// RepetitionCount returns how many times the steps of the job run, at least 1.
+func (j *Job) RepetitionCount() int { return max(1, j.Repetitions) }
 
 // Scheduled reports whether the job's repetitions have due times.
 func (j *Job) Scheduled() bool { return j.Repetitions > 0 }
--- a/workload/state.go
+++ b/workload/state.go
@@ -68,11 +68,11 @@
 	Units []UnitState
 }
 
-// JobState is the durable state of a job. Runs has an entry for each repetition that has been due, with one StepState per
-// step.
+// JobState is the durable state of a job. Repetitions has an entry for each repetition that has been due, with one
+// StepState per step.
 type JobState struct {
-	Phase Phase
-	Runs  [][]StepState
+	Phase       Phase
+	Repetitions [][]StepState
 }
 
 // stateFormat is the first byte of an encoded state; states with another first byte are rejected.
@@ -85,8 +85,8 @@
 // rest.
 func (s *JobState) Encode() []byte {
 	enc := encoder{workerNumbers: map[string]uint64{}}
-	enc.uint(uint64(len(s.Runs)))
-	for _, steps := range s.Runs {
+	enc.uint(uint64(len(s.Repetitions)))
+	for _, steps := range s.Repetitions {
 		enc.uint(uint64(len(steps)))
 		for i := range steps {
 			enc.step(&steps[i])
@@ -172,7 +172,7 @@
 	}
 	s := &JobState{Phase: phase}
 	for range d.count() {
-		s.Runs = append(s.Runs, d.steps())
+		s.Repetitions = append(s.Repetitions, d.steps())
 	}
 	if d.failed || len(d.rest) > 0 {
 		return nil, errCorrupt
--- a/workload/state_test.go
+++ b/workload/state_test.go
@@ -28,7 +28,7 @@
 		for range rapid.IntRange(1, 3).Draw(t, "steps") {
 			steps = append(steps, drawStep(t))
 		}
-		state.Runs = append(state.Runs, steps)
+		state.Repetitions = append(state.Repetitions, steps)
 	}
 	return state
 }
@@ -60,7 +60,7 @@
 			t.Fatal("DecodeState returned neither a state nor an error")
 		}
 	})
-	encoded := (&JobState{Runs: [][]StepState{{{Units: []UnitState{{Status: UnitActive, Run: 3, Workers: []string{"w"}}}}}}}).Encode()
+	encoded := (&JobState{Repetitions: [][]StepState{{{Units: []UnitState{{Status: UnitActive, Run: 3, Workers: []string{"w"}}}}}}}).Encode()
 	for length := range encoded {
 		if _, err := DecodeState(encoded[:length]); err == nil {
 			t.Fatalf("a state truncated to %d of %d bytes was accepted", length, len(encoded))
