--- a/dispatch/cluster_test.go
+++ b/dispatch/cluster_test.go
@@ -168,7 +168,7 @@
 	if w.running[stop.Ref] != nil {
 		c.end(stop.Worker, stop.Ref, workload.EndStopped)
 	}
-	c.core.StopAnswered(stop.Worker, stop.Ref)
+	c.core.StopConfirmed(stop.Worker, stop.Ref)
 }
 
 // end makes a worker end a run; the core learns of it from the next listing.
@@ -185,7 +185,7 @@
 
 // list passes a worker's listing to the core.
 func (c *cluster) list(worker string) {
-	c.core.Listing(worker, c.now, c.listing(worker))
+	c.core.ApplyListing(worker, c.now, c.listing(worker))
 }
 
 // listing returns a worker's current listing.
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// Knows reports whether the core holds the job as unfinished or ended.
-func (c *Core) Knows(id workload.JobID) bool {
+// HasJob reports whether the core holds the job as unfinished or ended.
+func (c *Core) HasJob(id workload.JobID) bool {
 	_, ended := c.ended[id]
 	return ended || c.jobs[id] != nil
 }
@@ -233,7 +233,7 @@
 
 // AddJob adds a job unless the core already knows it. state is the job's stored state; nil if nothing of it was started.
 func (c *Core) AddJob(spec *workload.Job, state *workload.JobState) {
-	if c.Knows(spec.ID) {
+	if c.HasJob(spec.ID) {
 		return
 	}
 	if state != nil && state.Phase.Final() {
--- a/dispatch/slow_test.go
+++ b/dispatch/slow_test.go
@@ -72,7 +72,7 @@
 		}
 		p.endDone()
 		for len(p.delayed) > 0 && p.delayed[0].at <= p.now {
-			p.core.Listing(p.delayed[0].worker, p.now, p.delayed[0].listing)
+			p.core.ApplyListing(p.delayed[0].worker, p.now, p.delayed[0].listing)
 			p.delayed = p.delayed[1:]
 		}
 		for _, id := range p.workerIDs {
--- a/dispatch/storm_test.go
+++ b/dispatch/storm_test.go
@@ -488,7 +488,7 @@
 // reportOutcome passes a worker's response to a command to the core.
 func (s *storm) reportOutcome(id string, cmd *stormCommand, outcome stormOutcome) {
 	if cmd.stop != nil {
-		s.core.StopAnswered(id, cmd.stop.Ref)
+		s.core.StopConfirmed(id, cmd.stop.Ref)
 		return
 	}
 	switch {
--- a/dispatch/units.go
+++ b/dispatch/units.go
@@ -130,8 +130,8 @@
 // StartAccepted records that the worker has or had the run.
 func (c *Core) StartAccepted(workerID string, ref workload.RunRef) { c.confirm(workerID, ref) }
 
-// StopAnswered records that the worker will not start the run any more.
-func (c *Core) StopAnswered(workerID string, ref workload.RunRef) { c.confirm(workerID, ref) }
+// StopConfirmed records that the worker will not start the run any more.
+func (c *Core) StopConfirmed(workerID string, ref workload.RunRef) { c.confirm(workerID, ref) }
 
 func (c *Core) confirm(workerID string, ref workload.RunRef) {
 	p := c.placement(workerID, ref)
@@ -317,8 +317,8 @@
 	c.abortRun(p.unit, "start abandoned")
 }
 
-// StopUnanswered records that the worker's address changed before it responded to a stop, and sends the stop again.
-func (c *Core) StopUnanswered(workerID string, ref workload.RunRef) {
+// StopUnconfirmed records that the worker's address changed before it responded to a stop, and sends the stop again.
+func (c *Core) StopUnconfirmed(workerID string, ref workload.RunRef) {
 	if p := c.placement(workerID, ref); p != nil {
 		c.resendStop(p)
 	}
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -136,9 +136,9 @@
 	)
 }
 
-// Listing applies a worker's listing of its runs. sentAt is when the request for it was sent: a run whose start was
+// ApplyListing applies a worker's listing of its runs. sentAt is when the request for it was sent: a run whose start was
 // confirmed before that must be in the listing. It returns the highest sequence number of the ends that were applied.
-func (c *Core) Listing(id string, sentAt time.Duration, listing *workload.Listing) int64 {
+func (c *Core) ApplyListing(id string, sentAt time.Duration, listing *workload.Listing) int64 {
 	w := c.workerOf(id)
 	if w.incarnation != listing.Incarnation {
 		w.incarnation = listing.Incarnation
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -222,7 +222,7 @@
 // admit adds a job to the core unless the core knows it, and passes on its cancellation.
 func (l *Leader) admit(e joblog.Entry) {
 	id := e.Job.ID
-	if !l.core.Knows(id) {
+	if !l.core.HasJob(id) {
 		state := l.decodeState(e)
 		l.core.AddJob(e.Job, state)
 		if state == nil && !e.Cancelled {
--- a/leader/session.go
+++ b/leader/session.go
@@ -102,7 +102,7 @@
 		}
 		first = false
 		pause = watchRetryInterval
-		s.leader.enqueue(func(c *dispatch.Core) { s.leader.recordProcessedEnds(s, c.Listing(s.id, sentAt, listing)) })
+		s.leader.enqueue(func(c *dispatch.Core) { s.leader.recordProcessedEnds(s, c.ApplyListing(s.id, sentAt, listing)) })
 		s.awaitStoredEnds(ctx, listing)
 	}
 }
@@ -282,12 +282,12 @@
 			count(counterStops)
 			s.logger.Info().Str("job", string(planned.Ref.Task.Job)).Str("task", planned.Ref.Task.String()).Int64("run", planned.Ref.Run).
 				Int("attempt", attempt).Str("reason", planned.Reason).Msg("stop answered")
-			s.leader.enqueue(func(c *dispatch.Core) { c.StopAnswered(s.id, planned.Ref) })
+			s.leader.enqueue(func(c *dispatch.Core) { c.StopConfirmed(s.id, planned.Ref) })
 			return
 		}
 		boottime.Sleep(s.ctx, requestRetryInterval*time.Duration(min(attempt, maxStopBackoff)))
 		if s.ctx.Err() != nil {
-			s.leader.enqueue(func(c *dispatch.Core) { c.StopUnanswered(s.id, planned.Ref) })
+			s.leader.enqueue(func(c *dispatch.Core) { c.StopUnconfirmed(s.id, planned.Ref) })
 			return
 		}
 		if !s.leader.query(ctx, func(c *dispatch.Core) bool { return c.WantsStop(s.id, planned.Ref) }) {
