--- a/leader/journal.go
+++ b/leader/journal.go
@@ -36,7 +36,7 @@
 	sequence int64
 	// retryInterval is the pause before the next attempt.
 	retryInterval time.Duration
-	out           zerolog.Logger
+	logger        zerolog.Logger
 	dependency    telemetry.Dependency
 	hedge         *store.Hedge
 }
@@ -88,7 +88,7 @@
 		attempts, err := j.send(ctx, records, producer)
 		uncertain = uncertain || attempts > 1
 		observe(timerAppend, boottime.Now()-startedAt)
-		j.dependency.Note(j.out, "store", store.IgnoreRejection(err))
+		j.dependency.Note(j.logger, "store", store.IgnoreRejection(err))
 		var sequenceErr *store.SequenceError
 		switch {
 		case err == nil:
--- a/leader/journal_test.go
+++ b/leader/journal_test.go
@@ -18,7 +18,7 @@
 )
 
 func newJournal(log store.Log, epoch int64) *journal {
-	return &journal{log: log, hedge: &store.Hedge{}, epoch: epoch, out: zerolog.Nop()}
+	return &journal{log: log, hedge: &store.Hedge{}, epoch: epoch, logger: zerolog.Nop()}
 }
 
 func record(key, value string) []store.Record {
@@ -89,7 +89,7 @@
 			var lines bytes.Buffer
 			log := storetest.New()
 			j := newJournal(log, 1)
-			j.out = zerolog.New(&lines)
+			j.logger = zerolog.New(&lines)
 			if err := j.open(t.Context()); err != nil {
 				t.Fatal(err)
 			}
@@ -147,13 +147,13 @@
 	})
 }
 
-// halfAnswering is a store that executes every append and responds only to every second one.
-type halfAnswering struct {
+// halfResponding is a store that executes every append and responds only to every second one.
+type halfResponding struct {
 	*storetest.Fake
 	calls atomic.Int64
 }
 
-func (s *halfAnswering) Append(ctx context.Context, stream store.Stream, records []store.Record, p *store.Producer, timeout time.Duration) error {
+func (s *halfResponding) Append(ctx context.Context, stream store.Stream, records []store.Record, p *store.Producer, timeout time.Duration) error {
 	err := s.Fake.Append(ctx, stream, records, p, timeout)
 	if s.calls.Add(1)%2 == 0 {
 		return err
@@ -169,7 +169,7 @@
 // and against appends that count as refused because an earlier attempt was executed.
 func TestLostAnswersHoldUpTheJournalBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &halfAnswering{Fake: storetest.New()}
+		log := &halfResponding{Fake: storetest.New()}
 		j := newJournal(log, 1)
 		startedAt := time.Now()
 		if err := j.open(t.Context()); err != nil {
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -59,13 +59,13 @@
 	StatusRetention time.Duration
 	// ConfirmedAt returns the boot-clock time at which the store last confirmed that this VM holds the schedule.
 	ConfirmedAt func() time.Duration
-	Out         zerolog.Logger
+	Logger      zerolog.Logger
 }
 
 // Leader holds the schedule for one epoch.
 type Leader struct {
 	Options
-	out       zerolog.Logger
+	logger    zerolog.Logger
 	lease     time.Duration
 	startedAt time.Duration
 
@@ -106,7 +106,7 @@
 // New returns a leader for the epoch in o. Run starts it.
 func New(o Options, config *workload.Config) *Leader {
 	return &Leader{
-		Options: o, out: o.Out.With().Int64("epoch", o.Epoch).Logger(),
+		Options: o, logger: o.Logger.With().Int64("epoch", o.Epoch).Logger(),
 		lease:         min(maxLease, o.MaxLease),
 		events:        make(chan func(*dispatch.Core), eventQueueCapacity),
 		sessions:      map[string]*session{},
@@ -144,7 +144,7 @@
 	case l.events <- f:
 	case <-time.After(enqueueTimeout):
 		if !l.ended.Load() {
-			l.out.Error().Msg("event dropped: the event queue of the schedule loop is full")
+			l.logger.Error().Msg("event dropped: the event queue of the schedule loop is full")
 		}
 	}
 }
@@ -154,7 +154,7 @@
 	if l.ended.Swap(true) {
 		return
 	}
-	l.out.Warn().Str("shown_by", evidence).Msg("schedule lost to a newer holder")
+	l.logger.Warn().Str("shown_by", evidence).Msg("schedule lost to a newer holder")
 	l.cancel()
 }
 
@@ -169,9 +169,9 @@
 	ctx, l.cancel = context.WithCancel(ctx)
 	defer l.cancel()
 	l.startedAt = boottime.Now()
-	l.journal = &journal{log: l.Log, hedge: l.Hedge, epoch: l.Epoch, retryInterval: journalRetryInterval, out: l.out.With().Stringer("stream", store.States).Logger()}
+	l.journal = &journal{log: l.Log, hedge: l.Hedge, epoch: l.Epoch, retryInterval: journalRetryInterval, logger: l.logger.With().Stringer("stream", store.States).Logger()}
 	if err := l.journal.open(ctx); err != nil {
-		l.out.Warn().Err(err).Msg("schedule not taken: epoch not registered with the store")
+		l.logger.Warn().Err(err).Msg("schedule not taken: epoch not registered with the store")
 		return
 	}
 	if err := l.Follower.Refresh(ctx, 0, l.Follower.Streams()...); err != nil {
@@ -180,7 +180,7 @@
 	l.Follower.Subscribe(l.jobsChanged)
 	defer l.Follower.Subscribe(nil)
 	l.load()
-	l.out.Info().Dur("took", boottime.Now()-l.startedAt).Int("unverified_workers", len(l.core.Unverified())).Msg("schedule taken")
+	l.logger.Info().Dur("took", boottime.Now()-l.startedAt).Int("unverified_workers", len(l.core.Unverified())).Msg("schedule taken")
 	l.goroutines.Add(1)
 	go func() {
 		defer l.goroutines.Done()
@@ -190,7 +190,7 @@
 	l.ended.Store(true)
 	l.cancel()
 	l.discardEvents()
-	l.out.Info().Msg("leader stopped")
+	l.logger.Info().Msg("leader stopped")
 }
 
 // discardEvents discards events until all goroutines of the leader have ended, so that none blocks on a full queue.
@@ -226,7 +226,7 @@
 		state := l.decodeState(e)
 		l.core.AddJob(e.Job, state)
 		if state == nil && !e.Cancelled {
-			l.out.Info().Str("job", string(id)).Str("queue", e.Job.Queue).Str("account", e.Job.Account).
+			l.logger.Info().Str("job", string(id)).Str("queue", e.Job.Queue).Str("account", e.Job.Account).
 				Dur("age", time.Since(e.Job.AcceptedAt)).Msg("job admitted")
 		}
 	}
@@ -241,7 +241,7 @@
 	}
 	state, err := workload.DecodeState(e.State)
 	if err != nil {
-		l.out.Error().Err(err).Str("job", string(e.Job.ID)).Msg("stored job state cannot be decoded; the job starts over")
+		l.logger.Error().Err(err).Str("job", string(e.Job.ID)).Msg("stored job state cannot be decoded; the job starts over")
 		return nil
 	}
 	return state
@@ -365,7 +365,7 @@
 func (l *Leader) appendEnded(ctx context.Context, err error) {
 	l.appendDone = nil
 	if err != nil {
-		l.out.Warn().Err(err).Msg("job states not stored")
+		l.logger.Warn().Err(err).Msg("job states not stored")
 		if ctx.Err() == nil {
 			l.stepDown("store")
 		}
@@ -410,7 +410,7 @@
 
 func (l *Leader) logEvents() {
 	for _, e := range l.core.TakeEvents() {
-		l.out.Info().Str("event", e.Name).Str("job", string(e.Job)).Str("worker", e.Worker).Str("detail", e.Detail).Msg("decision")
+		l.logger.Info().Str("event", e.Name).Str("job", string(e.Job)).Str("worker", e.Worker).Str("detail", e.Detail).Msg("decision")
 	}
 }
 
@@ -419,7 +419,7 @@
 		if !change.Phase.Final() {
 			continue
 		}
-		l.out.Info().Str("job", string(change.ID)).Str("phase", change.Phase.String()).Msg("job ended")
+		l.logger.Info().Str("job", string(change.ID)).Str("phase", change.Phase.String()).Msg("job ended")
 	}
 }
 
@@ -445,7 +445,7 @@
 		states[i] = joblog.StateTombstone(id)
 		err := l.Log.Append(ctx, joblog.IntakeStream(id), joblog.IntakeTombstones(id), nil, journalTimeout)
 		if err != nil {
-			l.out.Warn().Err(err).Str("job", string(id)).Msg("records of an ended job not deleted; the next holder of the schedule retries")
+			l.logger.Warn().Err(err).Str("job", string(id)).Msg("records of an ended job not deleted; the next holder of the schedule retries")
 			return nil
 		}
 	}
--- a/leader/leaseclock.go
+++ b/leader/leaseclock.go
@@ -17,9 +17,9 @@
 	expiresAt time.Duration
 	// untilMS is the expiry of the longest lease sent.
 	untilMS int64
-	// unanswered is true if the last request had no response. The renewal may still have arrived, so a retry with a later
+	// noResponse is true if the last request had no response. The renewal may still have arrived, so a retry with a later
 	// expiry would postpone expiresAt for as long as the worker does not respond.
-	unanswered bool
+	noResponse bool
 	// contacted is true once the worker has responded; from then on it rejects renewals of earlier holders.
 	contacted bool
 }
@@ -32,7 +32,7 @@
 // renew returns the expiry of a lease sent now, in milliseconds of the worker's clock; 0 while that clock is unknown. It
 // does not extend the lease after a request without response.
 func (l *leaseClock) renew(now time.Duration) int64 {
-	if !l.clockKnown || l.unanswered {
+	if !l.clockKnown || l.noResponse {
 		return l.untilMS
 	}
 	length := now - l.clockAt + l.lease
@@ -54,11 +54,11 @@
 	l.clockKnown = true
 	l.clockMS = clockMS
 	l.clockAt = now
-	l.unanswered = false
+	l.noResponse = false
 }
 
 // recordNoResponse records a request without response.
-func (l *leaseClock) recordNoResponse() { l.unanswered = true }
+func (l *leaseClock) recordNoResponse() { l.noResponse = true }
 
 // allExpired reports whether every lease sent has expired.
 func (l *leaseClock) allExpired(now time.Duration) bool { return now > l.expiresAt }
--- a/leader/session.go
+++ b/leader/session.go
@@ -65,7 +65,7 @@
 	s := &session{
 		id: id, address: address, leader: l, ctx: ctx, cancel: cancel,
 		conn:             l.Workers.Connect(id, address),
-		logger:           l.out.With().Str("worker", id).Logger(),
+		logger:           l.logger.With().Str("worker", id).Logger(),
 		requestSlots:     make(chan struct{}, maxRequests),
 		lease:            leaseClock{lease: l.lease, expiresAt: l.startedAt + l.earlierLeaseBound()},
 		storedEndChanged: make(chan struct{}),
@@ -89,7 +89,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, ErrDeposed) {
+		if errors.Is(err, ErrStaleFence) {
 			s.leader.stepDown("worker " + s.id)
 			return
 		}
@@ -111,20 +111,20 @@
 // of a session or connection does not wait, and acknowledges no ends: it may reach another incarnation, which numbers its
 // ends from the start.
 func (s *session) watchOnce(ctx context.Context, first bool) (*workload.Listing, time.Duration, error) {
-	watch := Watch{Fence: s.leader.Epoch, Wait: watchWait}
+	request := WatchRequest{Fence: s.leader.Epoch, Wait: watchWait}
 	fresh := first || !s.conn.SameConnection()
 	s.mu.Lock()
 	if fresh {
-		watch.Wait = 0
+		request.Wait = 0
 	} else {
-		watch.Noted = s.storedEnd
+		request.StoredEnd = s.storedEnd
 	}
 	s.mu.Unlock()
 	if s.leader.mayRenew() {
-		watch.LeaseUntilMS = s.leaseUntil()
+		request.LeaseUntilMS = s.leaseUntil()
 	}
 	sentAt := boottime.Now()
-	listing, err := s.conn.Watch(ctx, watch, watch.Wait+watchMargin)
+	listing, err := s.conn.Watch(ctx, request, request.Wait+watchMargin)
 	if err != nil {
 		return nil, sentAt, err
 	}
@@ -151,7 +151,8 @@
 	return s.lease.renew(boottime.Now())
 }
 
-// recordNoResponse records a request without response: it reports the worker to the core as unreachable, and as dead once its lease has expired.
+// recordNoResponse records a request without response: it reports the worker to the core as unreachable, and as dead
+// once its lease has expired.
 func (s *session) recordNoResponse() {
 	s.mu.Lock()
 	s.lease.recordNoResponse()
@@ -221,7 +222,7 @@
 	startedAt := boottime.Now()
 	defer func() { observe(timerStart, boottime.Now()-startedAt) }()
 	for attempt := 1; ctx.Err() == nil; attempt++ {
-		request := StartOrder{
+		request := StartRequest{
 			Ref: planned.Ref, Specification: planned.Specification, Checkpoint: planned.Checkpoint,
 			LeaseUntilMS: s.leaseUntil(), Fence: s.leader.Epoch,
 		}
@@ -244,11 +245,11 @@
 func (s *session) reportStartOutcome(planned dispatch.Start, err error, attempt int) bool {
 	ref := planned.Ref
 	switch {
-	case err == nil, errors.Is(err, ErrRunIsOver):
+	case err == nil, errors.Is(err, ErrRunEnded):
 		s.leader.enqueue(func(c *dispatch.Core) { c.StartAccepted(s.id, ref) })
-	case errors.Is(err, ErrDeposed):
+	case errors.Is(err, ErrStaleFence):
 		s.leader.stepDown("worker " + s.id)
-	case errors.Is(err, ErrNoAnswer), errors.Is(err, ErrLate):
+	case errors.Is(err, ErrNoResponse), errors.Is(err, ErrLeaseExpired):
 		return false
 	case errors.Is(err, ErrUnhealthy) && attempt < maxUnhealthyAttempts:
 		return false
@@ -273,12 +274,12 @@
 	s.requestSlots <- struct{}{}
 	defer func() { <-s.requestSlots }()
 	for attempt := 1; ctx.Err() == nil; attempt++ {
-		err := s.conn.Stop(ctx, StopOrder{Ref: planned.Ref, Fence: s.leader.Epoch}, requestTimeout)
-		if errors.Is(err, ErrDeposed) {
+		err := s.conn.Stop(ctx, StopRequest{Ref: planned.Ref, Fence: s.leader.Epoch}, requestTimeout)
+		if errors.Is(err, ErrStaleFence) {
 			s.leader.stepDown("worker " + s.id)
 			return
 		}
-		if err == nil || errors.Is(err, ErrRunIsOver) {
+		if err == nil || errors.Is(err, ErrRunEnded) {
 			count(counterStops)
 			s.logger.Info().Str("job", string(planned.Ref.Task.Job)).Str("task", planned.Ref.Task.String()).Int64("run", planned.Ref.Run).
 				Int("attempt", attempt).Str("reason", planned.Reason).Msg("stop answered")
--- a/leader/worker.go
+++ b/leader/worker.go
@@ -19,38 +19,38 @@
 
 // Errors of requests to workers.
 var (
-	// ErrNoAnswer means that no usable response arrived; the request may be executed, now or seconds later.
-	ErrNoAnswer = errors.New("leader: no response from the worker")
-	// ErrDeposed means that the fencing token of the request is lower than the worker's.
-	ErrDeposed = errors.New("leader: fencing token rejected: the worker follows a newer holder of the schedule")
-	// ErrRunIsOver means that the worker has ended the run, or has refused to start it before.
-	ErrRunIsOver = errors.New("leader: the worker has already ended this run")
-	// ErrLate means that the lease in a start request had expired on arrival.
-	ErrLate = errors.New("leader: the lease in the request expired before it arrived")
-	// ErrNoRoom means that the worker has too few free resources for the run.
-	ErrNoRoom = errors.New("leader: the worker has too few free resources")
+	// ErrNoResponse means that no usable response arrived; the request may be executed, now or seconds later.
+	ErrNoResponse = errors.New("leader: no response from the worker")
+	// ErrStaleFence means that the fencing token of the request is lower than the worker's.
+	ErrStaleFence = errors.New("leader: fencing token rejected: the worker follows a newer holder of the schedule")
+	// ErrRunEnded means that the worker has ended the run, or has refused to start it before.
+	ErrRunEnded = errors.New("leader: the worker has already ended this run")
+	// ErrLeaseExpired means that the lease in a start request had expired on arrival.
+	ErrLeaseExpired = errors.New("leader: the lease in the request expired before it arrived")
+	// ErrInsufficientResources means that the worker has too few free resources for the run.
+	ErrInsufficientResources = errors.New("leader: the worker has too few free resources")
 	// ErrUnhealthy means that the worker refuses all requests for now.
 	ErrUnhealthy = errors.New("leader: the worker is not healthy")
 	// ErrOtherIncarnation means that the request was meant for a process that is gone.
 	ErrOtherIncarnation = errors.New("leader: another process runs at the worker's address")
-	// ErrBadOrder means that the worker cannot process the request.
-	ErrBadOrder = errors.New("leader: the worker rejected the request as invalid")
+	// ErrInvalidRequest means that the worker cannot process the request.
+	ErrInvalidRequest = errors.New("leader: the worker rejected the request as invalid")
 )
 
-// Watch is a request for a worker's listing of runs.
-type Watch struct {
+// WatchRequest is a request for a worker's listing of runs.
+type WatchRequest struct {
 	// LeaseUntilMS renews the lease until this time, in milliseconds of the worker's clock; 0 renews nothing.
 	LeaseUntilMS int64
 	// Fence is the fencing token, the epoch of the holder of the schedule.
 	Fence int64
-	// Noted is the sequence number up to which run ends are stored; the worker may discard those.
-	Noted int64
+	// StoredEnd is the sequence number up to which run ends are stored; the worker may discard those.
+	StoredEnd int64
 	// Wait is how long the worker may hold the request open until a run ends.
 	Wait time.Duration
 }
 
-// StartOrder is a request to start a run. LeaseUntilMS is in milliseconds of the worker's clock.
-type StartOrder struct {
+// StartRequest is a request to start a run. LeaseUntilMS is in milliseconds of the worker's clock.
+type StartRequest struct {
 	Ref           workload.RunRef
 	Specification string
 	Checkpoint    string
@@ -58,20 +58,20 @@
 	Fence         int64
 }
 
-// StopOrder is a request to stop a run.
-type StopOrder struct {
+// StopRequest is a request to stop a run.
+type StopRequest struct {
 	Ref   workload.RunRef
 	Fence int64
 }
 
-// WorkerConn sends requests to one worker. Watch must not be called concurrently; Start and Stop may. A refusal matches one
-// of the errors above. Start and Stop return an error that matches ErrNoAnswer if no usable response arrived.
+// WorkerConn sends requests to one worker. Watch must not be called concurrently; Start and Stop may. A refusal matches
+// one of the errors above. Start and Stop return an error that matches ErrNoResponse if no usable response arrived.
 type WorkerConn interface {
-	Watch(ctx context.Context, watch Watch, timeout time.Duration) (*workload.Listing, error)
+	Watch(ctx context.Context, request WatchRequest, timeout time.Duration) (*workload.Listing, error)
 	// SameConnection reports whether the next Watch reaches the process that responded to the last one.
 	SameConnection() bool
-	Start(ctx context.Context, order StartOrder, timeout time.Duration) error
-	Stop(ctx context.Context, order StopOrder, timeout time.Duration) error
+	Start(ctx context.Context, request StartRequest, timeout time.Duration) error
+	Stop(ctx context.Context, request StopRequest, timeout time.Duration) error
 	Close()
 }
 
--- a/leader/workers.go
+++ b/leader/workers.go
@@ -22,7 +22,7 @@
 	list := workerList{leader: l, cursor: store.Cursor{Stream: store.Workers}, known: map[string]workload.WorkerInfo{}, presence: newPresence(l.HeartbeatInterval)}
 	for ctx.Err() == nil {
 		if err := list.read(ctx); err != nil {
-			l.out.Debug().Err(err).Msg("worker list not read")
+			l.logger.Debug().Err(err).Msg("worker list not read")
 		}
 		l.enqueue(func(c *dispatch.Core) {
 			l.reportUnlistedDead(c)
@@ -80,14 +80,14 @@
 			w.remove(id, false)
 		}
 	}
-	w.leader.out.Info().Int("workers", len(w.known)).Int64("offset", update.Next).Msg("worker list loaded")
+	w.leader.logger.Info().Int("workers", len(w.known)).Int64("offset", update.Next).Msg("worker list loaded")
 }
 
 // apply updates the worker of an entry, and removes the worker if the entry cannot be decoded.
 func (w *workerList) apply(ctx context.Context, r store.Record) {
 	info, err := w.leader.DecodeWorker(r.Key, r.Value)
 	if err != nil {
-		w.leader.out.Warn().Err(err).Str("worker", r.Key).Msg("worker entry cannot be decoded")
+		w.leader.logger.Warn().Err(err).Str("worker", r.Key).Msg("worker entry cannot be decoded")
 		w.remove(r.Key, false)
 		return
 	}
@@ -97,7 +97,7 @@
 	}
 	w.known[r.Key] = info
 	if !known || old.Draining != info.Draining || old.Incarnation != info.Incarnation || old.Address != info.Address {
-		w.leader.out.Info().Str("worker", info.ID).Str("address", info.Address).Bool("draining", info.Draining).
+		w.leader.logger.Info().Str("worker", info.ID).Str("address", info.Address).Bool("draining", info.Draining).
 			Int64("incarnation", info.Incarnation).Int64("offset", r.Offset).Msg("worker changed")
 	}
 	l := w.leader
@@ -127,7 +127,7 @@
 	}
 	delete(w.known, id)
 	delete(w.presence.seenAt, id)
-	w.leader.out.Info().Str("worker", id).Bool("ended", ended).Msg("worker left the list")
+	w.leader.logger.Info().Str("worker", id).Bool("ended", ended).Msg("worker left the list")
 	w.leader.enqueue(func(c *dispatch.Core) {
 		c.DropWorker(id)
 		if ended {
--- a/leader/workers_test.go
+++ b/leader/workers_test.go
@@ -21,14 +21,14 @@
 
 type idleConn struct{}
 
-func (idleConn) Watch(ctx context.Context, _ Watch, _ time.Duration) (*workload.Listing, error) {
+func (idleConn) Watch(ctx context.Context, _ WatchRequest, _ time.Duration) (*workload.Listing, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
-func (idleConn) SameConnection() bool                                   { return false }
-func (idleConn) Start(context.Context, StartOrder, time.Duration) error { return ErrNoAnswer }
-func (idleConn) Stop(context.Context, StopOrder, time.Duration) error   { return ErrNoAnswer }
-func (idleConn) Close()                                                 {}
+func (idleConn) SameConnection() bool                                     { return false }
+func (idleConn) Start(context.Context, StartRequest, time.Duration) error { return ErrNoResponse }
+func (idleConn) Stop(context.Context, StopRequest, time.Duration) error   { return ErrNoResponse }
+func (idleConn) Close()                                                   {}
 
 // newTestLeader returns a leader whose loop does not run and that logs to out.
 func newTestLeader(t *testing.T, log store.Log, out *bytes.Buffer) *Leader {
@@ -37,7 +37,7 @@
 		DecodeWorker: func(id string, text []byte) (workload.WorkerInfo, error) {
 			return workload.WorkerInfo{ID: id, Address: "127.0.0.1:1", Draining: string(text) == "draining"}, nil
 		},
-		Out: zerolog.New(out),
+		Logger: zerolog.New(out),
 	}, &workload.Config{})
 	return l
 }
--- a/node/membership.go
+++ b/node/membership.go
@@ -198,7 +198,7 @@
 		Epoch: m.generation, Log: n.Log, Hedge: &n.hedge, Follower: n.follower, View: n.view, Workers: n.Workers,
 		DecodeWorker: n.Decoder.WorkerRecord, Params: n.dispatchParams(), MaxLease: n.Settings.Bounds.MaxLease,
 		HeartbeatInterval: n.Settings.Bounds.HeartbeatInterval,
-		StatusRetention:   n.Settings.Bounds.StatusRetention, Out: n.Out,
+		StatusRetention:   n.Settings.Bounds.StatusRetention, Logger: n.Out,
 		ConfirmedAt: func() time.Duration { return time.Duration(m.confirmedAt.Load()) },
 	}, config)
 	leaderCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
