--- a/cmd/redwing-node/main.go
+++ b/cmd/redwing-node/main.go
@@ -68,7 +68,7 @@
 			Config:       platform.DecodeConfiguration,
 			WorkerRecord: platform.DecodeWorker,
 		},
-		Out: logger,
+		Logger: logger,
 	})
 	err = n.Run(ctx, &platform.Ingress{Front: n, Out: logger}, platform.ReadyPath)
 	logger.Info().AnErr("error", err).Msg("process stopped")
--- a/node/configwatch.go
+++ b/node/configwatch.go
@@ -25,7 +25,7 @@
 type configWatch struct {
 	log     store.Log
 	decoder Decoder
-	out     zerolog.Logger
+	logger  zerolog.Logger
 	// onChange is called with each new version.
 	onChange func(*workload.Config)
 
@@ -50,7 +50,7 @@
 func (w *configWatch) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := w.read(ctx)
-		w.dependency.Note(w.out, "store", err)
+		w.dependency.Note(w.logger, "store", err)
 		if err != nil {
 			boottime.Sleep(ctx, configRetryInterval)
 			continue
@@ -67,7 +67,7 @@
 		return err
 	}
 	if update.Expired {
-		w.out.Warn().Msg("configuration records expired before they were read; the newest were loaded instead")
+		w.logger.Warn().Msg("configuration records expired before they were read; the newest were loaded instead")
 	}
 	for _, r := range update.Records {
 		w.apply(r)
@@ -91,7 +91,7 @@
 	}
 	config, err := w.decoder.Config(r.Value)
 	if err != nil {
-		w.out.Error().Err(err).Int64("offset", r.Offset).Msg("configuration cannot be decoded; the previous version stays in force")
+		w.logger.Error().Err(err).Int64("offset", r.Offset).Msg("configuration cannot be decoded; the previous version stays in force")
 		return
 	}
 	w.mu.Lock()
@@ -102,7 +102,7 @@
 	}
 	w.config = config
 	w.mu.Unlock()
-	w.out.Info().Int64("version", config.Version).Int64("offset", r.Offset).Int("queues", len(config.Queues)).
+	w.logger.Info().Int64("version", config.Version).Int64("offset", r.Offset).Int("queues", len(config.Queues)).
 		Int("keys", len(config.KeyAccounts)).Msg("configuration in force")
 	w.onChange(config)
 }
--- a/node/membership.go
+++ b/node/membership.go
@@ -125,7 +125,7 @@
 func (m *membership) resolveExpiry(ctx context.Context, config *workload.Config, holder string, err error) {
 	switch {
 	case err != nil:
-		m.node.Out.Debug().Err(err).Msg("membership not confirmed")
+		m.node.Logger.Debug().Err(err).Msg("membership not confirmed")
 	case holder == "" || holder == m.member:
 		m.join(ctx, config)
 	default:
@@ -145,7 +145,7 @@
 		return
 	}
 	if err != nil {
-		m.node.Out.Debug().Err(err).Msg("membership not confirmed")
+		m.node.Logger.Debug().Err(err).Msg("membership not confirmed")
 		if m.leader == nil {
 			m.release("the group did not confirm the membership")
 		}
@@ -177,7 +177,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if err := m.node.Log.Leave(ctx, scheduleGroup, m.member, m.generation); err != nil {
-		m.node.Out.Warn().Err(err).Msg("group not left; the schedule is reassigned when the membership expires")
+		m.node.Logger.Warn().Err(err).Msg("group not left; the schedule is reassigned when the membership expires")
 	}
 }
 
@@ -198,7 +198,7 @@
 		Epoch: m.generation, Log: n.Log, Hedge: &n.hedge, Follower: n.follower, View: n.view, Workers: n.Workers,
 		DecodeWorker: n.Decoder.WorkerRecord, Params: n.dispatchParams(), MaxLease: n.Settings.Bounds.MaxLease,
 		HeartbeatInterval: n.Settings.Bounds.HeartbeatInterval,
-		StatusRetention:   n.Settings.Bounds.StatusRetention, Logger: n.Out,
+		StatusRetention:   n.Settings.Bounds.StatusRetention, Logger: n.Logger,
 		ConfirmedAt: func() time.Duration { return time.Duration(m.confirmedAt.Load()) },
 	}, config)
 	leaderCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -216,7 +216,7 @@
 	if m.leader == nil {
 		return
 	}
-	m.node.Out.Info().Str("reason", reason).Msg("schedule given back")
+	m.node.Logger.Info().Str("reason", reason).Msg("schedule given back")
 	m.node.setLeader(nil)
 	m.cancelLeader()
 	<-m.leaderDone
--- a/node/node.go
+++ b/node/node.go
@@ -48,10 +48,10 @@
 func New(o Options) *Node {
 	n := &Node{Options: o, view: joblog.NewView()}
 	n.writer = joblog.NewWriter(o.Log, &n.hedge)
-	n.follower = joblog.NewFollower(o.Log, n.view, o.Out)
+	n.follower = joblog.NewFollower(o.Log, n.view, o.Logger)
 	n.config = &configWatch{
 		log: o.Log, cursor: store.Cursor{Stream: store.Config}, decoder: o.Decoder, onChange: n.configChanged,
-		out: o.Out.With().Stringer("stream", store.Config).Logger(),
+		logger: o.Logger.With().Stringer("stream", store.Config).Logger(),
 	}
 	return n
 }
@@ -165,14 +165,14 @@
 func (n *Node) shutdown(callers *http.Server, stopMember context.CancelFunc, memberDone <-chan struct{}) {
 	grace := n.Settings.Bounds.ShutdownGrace - shutdownReserve
 	n.stopping.Store(true)
-	n.Out.Info().Dur("grace", grace).Msg("shutting down")
+	n.Logger.Info().Dur("grace", grace).Msg("shutting down")
 	end := time.Now().Add(grace)
 	stopMember()
 	time.Sleep(min(balancerReaction, grace/2))
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	if err := callers.Shutdown(ctx); err != nil {
-		n.Out.Warn().Err(err).Msg("callers' requests were still open at the end of the grace period")
+		n.Logger.Warn().Err(err).Msg("callers' requests were still open at the end of the grace period")
 	}
 	select {
 	case <-memberDone:
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -64,7 +64,7 @@
 			IsConfig: func(r store.Record) bool { return r.Key == "config" },
 			Config:   decodeTestConfig,
 		},
-		Out: zerolog.Nop(),
+		Logger: zerolog.Nop(),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
--- a/node/options.go
+++ b/node/options.go
@@ -35,7 +35,7 @@
 	Log      store.Log
 	Workers  leader.Workers
 	Decoder  Decoder
-	Out      zerolog.Logger
+	Logger   zerolog.Logger
 }
 
 func (o *Options) dispatchParams() dispatch.Params {
