--- a/cmd/redwing-node/main.go
+++ b/cmd/redwing-node/main.go
@@ -70,7 +70,7 @@
 		},
 		Logger: logger,
 	})
-	err = n.Run(ctx, &platform.Ingress{Front: n, Out: logger}, platform.ReadyPath)
+	err = n.Run(ctx, &platform.Ingress{Frontend: n, Logger: logger}, platform.ReadyPath)
 	logger.Info().AnErr("error", err).Msg("process stopped")
 	return err
 }
