--- a/joblog/reader.go
+++ b/joblog/reader.go
@@ -61,7 +61,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		r.dependency.Note(r.out, "store", err)
+		r.dependency.Observe(r.out, "store", err)
 		switch {
 		case err != nil:
 			r.sleep(ctx, retryInterval)
--- a/leader/journal.go
+++ b/leader/journal.go
@@ -88,7 +88,7 @@
 		attempts, err := j.send(ctx, records, producer)
 		uncertain = uncertain || attempts > 1
 		observe(timerAppend, boottime.Now()-startedAt)
-		j.dependency.Note(j.logger, "store", store.IgnoreRejection(err))
+		j.dependency.Observe(j.logger, "store", store.IgnoreRejection(err))
 		var sequenceErr *store.SequenceError
 		switch {
 		case err == nil:
--- a/leader/session.go
+++ b/leader/session.go
@@ -93,7 +93,7 @@
 			s.leader.stepDown("worker " + s.id)
 			return
 		}
-		dependency.Note(s.logger, "worker", err)
+		dependency.Observe(s.logger, "worker", err)
 		if err != nil {
 			s.recordNoResponse()
 			boottime.Sleep(ctx, pause)
--- a/node/configwatch.go
+++ b/node/configwatch.go
@@ -50,7 +50,7 @@
 func (w *configWatch) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := w.read(ctx)
-		w.dependency.Note(w.logger, "store", err)
+		w.dependency.Observe(w.logger, "store", err)
 		if err != nil {
 			boottime.Sleep(ctx, configRetryInterval)
 			continue
--- a/telemetry/dependency.go
+++ b/telemetry/dependency.go
@@ -9,15 +9,15 @@
 	failing bool
 }
 
-// Note records the outcome of a request to the dependency with the given name and logs a change.
-func (d *Dependency) Note(out zerolog.Logger, name string, err error) {
+// Observe records the outcome of a request to the dependency with the given name and logs a change.
+func (d *Dependency) Observe(logger zerolog.Logger, name string, err error) {
 	if (err != nil) == d.failing {
 		return
 	}
 	d.failing = err != nil
 	if d.failing {
-		out.Warn().Err(err).Str("dependency", name).Msg("dependency lost")
+		logger.Warn().Err(err).Str("dependency", name).Msg("dependency lost")
 		return
 	}
-	out.Info().Str("dependency", name).Msg("dependency regained")
+	logger.Info().Str("dependency", name).Msg("dependency regained")
 }
