--- a/httpconn/conn.go
+++ b/httpconn/conn.go
@@ -69,9 +69,9 @@
 	responses int
 }
 
-// Open reports whether the connection is open and has delivered at least one complete response, so that another request
-// can reuse it.
-func (c *Conn) Open() bool { return c.conn != nil && c.responses > 0 }
+// Reusable reports whether the connection is open and has delivered at least one complete response, so that another
+// request can reuse it.
+func (c *Conn) Reusable() bool { return c.conn != nil && c.responses > 0 }
 
 // Close closes the connection; the next Do opens a new one.
 func (c *Conn) Close() {
@@ -220,7 +220,7 @@
 func (p *Pool) release(conn *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !conn.Open() || conn.Address != p.address || len(p.idleConns) >= maxIdleConns {
+	if !conn.Reusable() || conn.Address != p.address || len(p.idleConns) >= maxIdleConns {
 		conn.Close()
 		return
 	}
--- a/httpconn/conn_test.go
+++ b/httpconn/conn_test.go
@@ -39,14 +39,14 @@
 	})
 	conn := &Conn{Address: address}
 	defer conn.Close()
-	if _, err := conn.Do(t.Context(), post("/a"), time.Second); err != nil || !conn.Open() {
+	if _, err := conn.Do(t.Context(), post("/a"), time.Second); err != nil || !conn.Reusable() {
 		t.Fatalf("first request: %v", err)
 	}
 	if _, err := conn.Do(t.Context(), post("/b"), time.Second); err == nil || errors.Is(err, ErrNotSent) {
 		t.Fatalf("request without a response returned %v", err)
 	}
-	if requests.Load() != 2 || conn.Open() {
-		t.Fatalf("%d requests arrived, connection open: %v", requests.Load(), conn.Open())
+	if requests.Load() != 2 || conn.Reusable() {
+		t.Fatalf("%d requests arrived, connection open: %v", requests.Load(), conn.Reusable())
 	}
 }
 
