--- a/dispatch/assert.go
+++ b/dispatch/assert.go
@@ -10,7 +10,7 @@
 func (c *Core) assertStart(u *unit, workers []*worker) {
 	s := u.step
 	task := u.task(0)
-	invariant.Check(len(workers) == u.size, invariant.GangWhole, "%v starts %d of %d members", task, len(workers), u.size)
+	invariant.Check(len(workers) == u.size, invariant.GangAllOrNothing, "%v starts %d of %d members", task, len(workers), u.size)
 	invariant.Check(len(u.placements) == 0 && u.state.Status == workload.UnitWaiting && !u.aborting, invariant.AtMostOnce,
 		"%v starts while it has %d placements, status %v", task, len(u.placements), u.state.Status)
 	invariant.Check(!s.done && !s.job.phase.Final(), invariant.AtMostOnce, "%v starts although its step or job has ended, job %s", task, s.job.phase)
--- a/dispatch/assert_test.go
+++ b/dispatch/assert_test.go
@@ -20,7 +20,7 @@
 		promise invariant.ID
 		violate func(c *Core, u *unit, w *worker)
 	}{
-		"start of a part of a gang": {invariant.GangWhole, func(c *Core, u *unit, w *worker) { c.start(u, []*worker{w}) }},
+		"start of a part of a gang": {invariant.GangAllOrNothing, func(c *Core, u *unit, w *worker) { c.start(u, []*worker{w}) }},
 		"start beside a run": {invariant.AtMostOnce, func(c *Core, u *unit, w *worker) {
 			c.start(u, []*worker{w, w})
 			c.start(u, []*worker{w, w})
--- a/endpoint/exchange.go
+++ b/endpoint/exchange.go
@@ -247,7 +247,7 @@
 		pool.discard(c)
 		return withFailure(result, Invalid, fault)
 	}
-	invariant.Check(fault == nil, invariant.AnswerWhole, "invalid response to request %s is passed on: %v", r.ID, fault)
+	invariant.Check(fault == nil, invariant.ResponseComplete, "invalid response to request %s is passed on: %v", r.ID, fault)
 	if keep && c.reader.Buffered() == 0 {
 		pool.put(c)
 	} else {
--- a/gang/gang.go
+++ b/gang/gang.go
@@ -287,6 +287,6 @@
 	if g.divergedSince.IsZero() {
 		g.divergedSince = now
 	}
-	invariant.Check(now.Sub(g.divergedSince) <= DifferBound, invariant.GangWhole,
+	invariant.Check(now.Sub(g.divergedSince) <= DifferBound, invariant.GangAllOrNothing,
 		"members of job %s attempt %d differ since %s", g.job.ID, g.attempt, g.divergedSince)
 }
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -278,7 +278,7 @@
 			Msg("response body not sent completely, caller connection aborted")
 		panic(http.ErrAbortHandler)
 	}
-	invariant.Check(n == length, invariant.AnswerWhole, "response body of %d bytes was streamed with %d bytes", length, n)
+	invariant.Check(n == length, invariant.ResponseComplete, "response body of %d bytes was streamed with %d bytes", length, n)
 }
 
 // writeError writes an error response of the caller API.
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -113,7 +113,7 @@
 		}
 	}
 	_, active := g.lifecycle.state()
-	drained := invariant.Check(active == 0, invariant.ShutdownCutsNothing,
+	drained := invariant.Check(active == 0, invariant.ShutdownDropsNothing,
 		"%d accepted requests have no response at the end of a shutdown", active)
 	err := g.server.Shutdown(ctx)
 	g.pools.Close()
--- a/invariant/example_test.go
+++ b/invariant/example_test.go
@@ -12,7 +12,7 @@
 	restore := invariant.SetRecorder(log.Record)
 	defer restore()
 
-	invariant.Check(true, invariant.GangWhole, "not recorded")
+	invariant.Check(true, invariant.GangAllOrNothing, "not recorded")
 	if !invariant.Check(false, invariant.AtMostOnce, "request %d ran twice", 7) {
 		fmt.Println("the caller handles the violation")
 	}
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -20,18 +20,18 @@
 const (
 	// GuaranteeReclaimable means that a client account's guaranteed shape can always be reclaimed from work that borrows it.
 	GuaranteeReclaimable ID = "P1"
-	// GangWhole means that either all members of a gang run or none.
-	GangWhole ID = "P2"
-	// AnswerWhole means that a caller gets the complete response to its own request.
-	AnswerWhole ID = "P3"
+	// GangAllOrNothing means that either all members of a gang run or none.
+	GangAllOrNothing ID = "P2"
+	// ResponseComplete means that a caller gets the complete response to its own request.
+	ResponseComplete ID = "P3"
 	// NotRunIsTrue means that a request that is reported as not run has not run.
 	NotRunIsTrue ID = "P4"
 	// AtMostOnce means that a non-idempotent request runs at most once.
 	AtMostOnce ID = "P5"
 	// LeavingGetsNoWork means that a leaving endpoint gets no new work after a bounded time.
 	LeavingGetsNoWork ID = "P6"
-	// ShutdownCutsNothing means that a graceful shutdown interrupts no accepted request.
-	ShutdownCutsNothing ID = "P7"
+	// ShutdownDropsNothing means that a graceful shutdown interrupts no accepted request.
+	ShutdownDropsNothing ID = "P7"
 	// ConfigurationMonotone means that a configuration version in force is never replaced by an earlier one.
 	ConfigurationMonotone ID = "P8"
 )
