--- a/gateway/dispatcher.go
+++ b/gateway/dispatcher.go
@@ -185,7 +185,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.routes.Done(c, r, time.Now())
-	if r.Kind == routing.Answered && r.Took > 0 {
+	if r.Kind == routing.Responded && r.Took > 0 {
 		d.queueLocked(c.Service).Served(r.Took)
 	}
 	d.dispatchLocked(c.Service)
@@ -195,7 +195,7 @@
 func (d *dispatcher) checkDispatch(c routing.Choice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.routes.Dispatching(c, time.Now())
+	d.routes.CheckDispatch(c, time.Now())
 }
 
 // countFirstAttempt credits the account's retry budget for a first attempt.
@@ -248,7 +248,7 @@
 	}
 	g.dispatcher.mu.Lock()
 	defer g.dispatcher.mu.Unlock()
-	g.dispatcher.routes.Learn(list, time.Now())
+	g.dispatcher.routes.LearnLeaving(list, time.Now())
 }
 
 // ObserveVMs applies the platform's VM list to the endpoint table.
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -21,16 +21,16 @@
 
 	choice, ok := table.Pick("scan", []string{"e-2"}, false, now) // e-2 failed this request before
 	fmt.Println(choice.Endpoint, choice.Address, ok)
-	table.Dispatching(choice, now)
+	table.CheckDispatch(choice, now)
 	now = now.Add(20 * time.Millisecond)
 	table.Done(choice, routing.Report{
-		Kind: routing.Answered, Took: 20 * time.Millisecond, Inflight: 1, Incarnation: "a", Leaving: true,
+		Kind: routing.Responded, Took: 20 * time.Millisecond, Inflight: 1, Incarnation: "a", Leaving: true,
 	}, now)
 
 	for range 3 {
 		choice, _ = table.Pick("scan", nil, false, now)
 		fmt.Println(choice.Endpoint)
-		table.Done(choice, routing.Report{Kind: routing.Answered, Took: time.Millisecond, Inflight: -1}, now)
+		table.Done(choice, routing.Report{Kind: routing.Responded, Took: time.Millisecond, Inflight: -1}, now)
 	}
 	// Output:
 	// e-1 10.0.0.1:80 true
--- a/routing/health.go
+++ b/routing/health.go
@@ -74,8 +74,8 @@
 
 // The result kinds.
 const (
-	// Answered marks a complete response other than those of ServerError and Rejected.
-	Answered ResultKind = iota
+	// Responded marks a complete response other than those of ServerError and Rejected.
+	Responded ResultKind = iota
 	// ServerError marks a complete response with a status of 500 or above that does not state not_run.
 	ServerError
 	// Rejected marks a complete response that states not_run: the endpoint rejected the request without running it.
@@ -91,7 +91,7 @@
 	Abandoned
 )
 
-// Report is the result of an exchange. Every field must be set: the zero Kind is Answered, and the zero Inflight is a
+// Report is the result of an exchange. Every field must be set: the zero Kind is Responded, and the zero Inflight is a
 // reported load of 0.
 type Report struct {
 	Kind ResultKind
@@ -135,7 +135,7 @@
 		if h.connectFailures >= unreachableAfter {
 			t.markUnreachable(e, now)
 		}
-	case Answered:
+	case Responded:
 		h.connectFailures, h.consecutiveFailures = 0, 0
 		h.sample(0, r.Took)
 	case Rejected:
@@ -237,7 +237,7 @@
 	}
 	e.service.ejected--
 	e.health.state = usable
-	if kind != Answered {
+	if kind != Responded {
 		t.eject(e, now)
 	}
 }
--- a/routing/leaving.go
+++ b/routing/leaving.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Learn marks the incarnations that a peer reports as leaving.
-func (t *Table) Learn(list []inner.EndpointIncarnation, now time.Time) {
+// LearnLeaving marks the incarnations that a peer reports as leaving.
+func (t *Table) LearnLeaving(list []inner.EndpointIncarnation, now time.Time) {
 	for _, name := range list {
 		e := t.find(name.Service, name.Endpoint)
 		if e == nil {
--- a/routing/probe.go
+++ b/routing/probe.go
@@ -83,7 +83,7 @@
 	if p.QueryIncarnation && e.health.state == ejected {
 		kind := Failed
 		if r.Incarnation != "" {
-			kind = Answered
+			kind = Responded
 		}
 		t.finishProbe(e, kind, now)
 	}
--- a/routing/table.go
+++ b/routing/table.go
@@ -172,8 +172,8 @@
 	}, true
 }
 
-// Dispatching asserts that the endpoint may still get requests. It is called right before the first byte is written.
-func (t *Table) Dispatching(c Choice, now time.Time) {
+// CheckDispatch asserts that the endpoint may still get requests. It is called right before the first byte is written.
+func (t *Table) CheckDispatch(c Choice, now time.Time) {
 	e := t.find(c.Service, c.Endpoint)
 	if e == nil {
 		return
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -181,7 +181,7 @@
 		restore := invariant.SetRecorder(log.Record)
 		c, ok := table.Pick("s", nil, false, now)
 		if ok {
-			table.Dispatching(c, now)
+			table.CheckDispatch(c, now)
 		}
 		restore()
 		if ok != ignore || len(log.Violations()) > 0 != ignore {
