--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -99,10 +99,10 @@
 		Drained:      d.base.drainRequested,
 		ReactionTime: milliseconds(d.settings.Shutdown.DrainMS),
 		Listener: gateway.ListenerLimits{
-			Connections: int(limits.MaxConnections),
-			HeaderBytes: int(limits.MaxHeaderBytes),
-			HeaderTime:  milliseconds(limits.ReadHeaderTimeoutMS),
-			IdleTime:    milliseconds(limits.IdleTimeoutMS),
+			Connections:   int(limits.MaxConnections),
+			HeaderBytes:   int(limits.MaxHeaderBytes),
+			HeaderTimeout: milliseconds(limits.ReadHeaderTimeoutMS),
+			IdleTimeout:   milliseconds(limits.IdleTimeoutMS),
 		},
 	}
 }
--- a/gateway/caller_request.go
+++ b/gateway/caller_request.go
@@ -143,7 +143,7 @@
 		return errkind.New(errkind.Overloaded, "retry later with backoff", "memory for request bodies is exhausted")
 	}
 	// The error is ignored because some response writers, such as httptest.ResponseRecorder, have no deadlines.
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(g.options.Listener.BodyTime))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(g.options.Listener.BodyTimeout))
 	var err error
 	if r.ContentLength > 0 {
 		c.body = make([]byte, r.ContentLength)
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -229,7 +229,7 @@
 	if resp.stream != nil {
 		defer resp.stream.Close()
 	}
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.options.Listener.WriteTime))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.options.Listener.WriteTimeout))
 	header := w.Header()
 	header.Set(headerOutcome, string(resp.Outcome))
 	header.Set(headerRequestID, c.id)
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -18,14 +18,14 @@
 	HeaderBytes int
 	// BodyBytes is the maximum total size of the bodies of all requests being served.
 	BodyBytes int64
-	// HeaderTime is the maximum time to receive a request header.
-	HeaderTime time.Duration
-	// BodyTime is the maximum time to receive a request body.
-	BodyTime time.Duration
-	// WriteTime is the maximum time to send a response.
-	WriteTime time.Duration
-	// IdleTime is the time after which an idle caller connection is closed.
-	IdleTime time.Duration
+	// HeaderTimeout is the maximum time to receive a request header.
+	HeaderTimeout time.Duration
+	// BodyTimeout is the maximum time to receive a request body.
+	BodyTimeout time.Duration
+	// WriteTimeout is the maximum time to send a response.
+	WriteTimeout time.Duration
+	// IdleTimeout is the time after which an idle caller connection is closed.
+	IdleTimeout time.Duration
 }
 
 // setDefaults replaces zero values by the defaults.
@@ -39,17 +39,17 @@
 	if l.BodyBytes == 0 {
 		l.BodyBytes = 64 << 20
 	}
-	if l.HeaderTime == 0 {
-		l.HeaderTime = 5 * time.Second
+	if l.HeaderTimeout == 0 {
+		l.HeaderTimeout = 5 * time.Second
 	}
-	if l.BodyTime == 0 {
-		l.BodyTime = 15 * time.Second
+	if l.BodyTimeout == 0 {
+		l.BodyTimeout = 15 * time.Second
 	}
-	if l.WriteTime == 0 {
-		l.WriteTime = 30 * time.Second
+	if l.WriteTimeout == 0 {
+		l.WriteTimeout = 30 * time.Second
 	}
-	if l.IdleTime == 0 {
-		l.IdleTime = 60 * time.Second
+	if l.IdleTimeout == 0 {
+		l.IdleTimeout = 60 * time.Second
 	}
 }
 
@@ -57,8 +57,8 @@
 func (g *Gateway) newServer() http.Server {
 	return http.Server{
 		Handler:           g,
-		ReadHeaderTimeout: g.options.Listener.HeaderTime,
-		IdleTimeout:       g.options.Listener.IdleTime,
+		ReadHeaderTimeout: g.options.Listener.HeaderTimeout,
+		IdleTimeout:       g.options.Listener.IdleTimeout,
 		MaxHeaderBytes:    g.options.Listener.HeaderBytes,
 	}
 }
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -107,7 +107,7 @@
 // TestListenerLimits guards against callers that exhaust the gateway with slow or large headers and bodies, or with
 // connections.
 func TestListenerLimits(t *testing.T) {
-	limits := ListenerLimits{Connections: 2, HeaderBytes: 4096, BodyBytes: 500, HeaderTime: 200 * time.Millisecond, BodyTime: 200 * time.Millisecond}
+	limits := ListenerLimits{Connections: 2, HeaderBytes: 4096, BodyBytes: 500, HeaderTimeout: 200 * time.Millisecond, BodyTimeout: 200 * time.Millisecond}
 	_, url := serveLoopback(t, limits, func(w http.ResponseWriter, r *http.Request) { respondWith(w, r, "x", 1) })
 	address := strings.TrimPrefix(url, "http://")
 	start := "POST /v1/services/scan/x HTTP/1.1\r\nHost: g\r\nAuthorization: Bearer " + tokenOf("orders") + "\r\n"
