--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -229,7 +229,7 @@
 	if resp.stream != nil {
 		defer resp.stream.Close()
 	}
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.options.Listener.WriteTime))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(g.options.Listener.WriteTimeout))
 	header := w.Header()
 	header.Set(headerOutcome, string(resp.Outcome))
 	header.Set(headerRequestID, c.id)
@@ -278,7 +278,7 @@
 			Msg("response body not sent completely, caller connection aborted")
 		panic(http.ErrAbortHandler)
 	}
-	invariant.Check(n == length, invariant.AnswerWhole, "response body of %d bytes was streamed with %d bytes", length, n)
+	invariant.Check(n == length, invariant.ResponseComplete, "response body of %d bytes was streamed with %d bytes", length, n)
 }
 
 // writeError writes an error response of the caller API.
