--- a/configlog/append.go
+++ b/configlog/append.go
@@ -35,7 +35,7 @@
 }
 
 func (f *Follower) appendSnapshot(ctx context.Context, record Record) {
-	err := f.append(ctx, record, 2*f.settings.CallTimeout)
+	err := f.append(ctx, record, 2*f.settings.RequestTimeout)
 	f.settings.Logger.Info().Err(err).Uint64("version", record.Snapshot.Version).Uint64("offset", record.Snapshot.Offset).
 		Msg("append of configuration snapshot finished")
 	f.mu.Lock()
--- a/configlog/catchup.go
+++ b/configlog/catchup.go
@@ -187,7 +187,7 @@
 func (f *Follower) needsPeerSync() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.state == nil || f.state.Doc == nil || f.hint > f.state.Next {
+	if f.state == nil || f.state.Doc == nil || f.peerOffset > f.state.Next {
 		return true
 	}
 	return f.logError != nil || time.Since(f.lastRead) > f.settings.PollWait+f.settings.PeerPeriod
@@ -201,12 +201,12 @@
 	}
 }
 
-// Hint records that a peer's heartbeat reports next as the offset of the next record that it will fold. If next is
-// after this follower's state, the follower queries its peers.
-func (f *Follower) Hint(next uint64) {
+// ObservePeerOffset records that a peer's heartbeat reports next as the offset of the next record that it will fold. If
+// next is after this follower's state, the follower queries its peers.
+func (f *Follower) ObservePeerOffset(next uint64) {
 	f.mu.Lock()
-	f.hint = max(f.hint, next)
-	behind := f.state == nil || f.hint > f.state.Next
+	f.peerOffset = max(f.peerOffset, next)
+	behind := f.state == nil || f.peerOffset > f.state.Next
 	f.mu.Unlock()
 	if behind {
 		f.requestPeerSync()
@@ -228,7 +228,7 @@
 	results := make(chan bool, len(peers))
 	for _, p := range peers {
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, f.settings.CallTimeout)
+			ctx, cancel := context.WithTimeout(ctx, f.settings.RequestTimeout)
 			defer cancel()
 			results <- query(ctx, p)
 		}()
@@ -243,7 +243,7 @@
 }
 
 // fetchRecordsFromPeers folds the records after the state that peers hold, or adopts the state of a peer that no longer
-// holds them. If all queried peers respond and none has more, it clears the hint; the next heartbeat sets it again.
+// holds them. If all queried peers respond and none has more, it clears peerOffset; the next heartbeat sets it again.
 func (f *Follower) fetchRecordsFromPeers(ctx context.Context) {
 	peers := f.randomPeers()
 	before := f.nextOffset()
@@ -262,7 +262,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if responses == len(peers) && f.state.Next == before {
-		f.hint = 0
+		f.peerOffset = 0
 	}
 }
 
--- a/configlog/follower.go
+++ b/configlog/follower.go
@@ -39,9 +39,9 @@
 	ReadMargin time.Duration
 	// PeerPeriod is the time between two rounds of queries to peers while the log does not respond.
 	PeerPeriod time.Duration
-	// CallTimeout is the timeout of one request to a peer, of the read in CatchUp and of the first attempt of an append.
-	// Further attempts and appends of snapshots use multiples of it.
-	CallTimeout time.Duration
+	// RequestTimeout is the timeout of one request to a peer, of the read in CatchUp and of the first attempt of an
+	// append. Further attempts and appends of snapshots use multiples of it.
+	RequestTimeout time.Duration
 	// GapGrace is the time for which a process whose next records have expired waits for a snapshot of another process
 	// before it continues with its own state. IsolatedGapGrace applies instead while a peer does not respond, because
 	// that peer may hold a higher version.
@@ -63,7 +63,7 @@
 	defaultPollWait         = 2 * time.Second
 	defaultReadMargin       = 1500 * time.Millisecond
 	defaultPeerPeriod       = time.Second
-	defaultCallTimeout      = 2 * time.Second
+	defaultRequestTimeout   = 2 * time.Second
 	defaultGapGrace         = 3 * time.Second
 	defaultIsolatedGapGrace = 5 * time.Minute
 	defaultSnapshotJitter   = 10 * time.Second
@@ -82,7 +82,7 @@
 	set(&s.PollWait, defaultPollWait)
 	set(&s.ReadMargin, defaultReadMargin)
 	set(&s.PeerPeriod, defaultPeerPeriod)
-	set(&s.CallTimeout, defaultCallTimeout)
+	set(&s.RequestTimeout, defaultRequestTimeout)
 	set(&s.GapGrace, defaultGapGrace)
 	set(&s.IsolatedGapGrace, defaultIsolatedGapGrace)
 	set(&s.SnapshotJitter, defaultSnapshotJitter)
@@ -122,8 +122,8 @@
 	logTail  uint64
 	// alarm is set if the log has violated its contract.
 	alarm string
-	// hint is the highest next offset that a peer has reported, 0 if none is pending.
-	hint uint64
+	// peerOffset is the highest next offset that a peer has reported, 0 if none is pending.
+	peerOffset uint64
 	// startTail is the end of the log when the initial state was found there. Documents before it are outdated and are
 	// not published until maxStartHold after startedAt.
 	startTail uint64
--- a/configlog/peer.go
+++ b/configlog/peer.go
@@ -91,7 +91,7 @@
 	if !h.HasConfig {
 		return false
 	}
-	f.Hint(h.ConfigNext)
+	f.ObservePeerOffset(h.ConfigNext)
 	own := f.Status()
 	if !own.HasConfig || own.Version != h.ConfigVersion || own.Digest == h.ConfigDigest {
 		return false
--- a/daemon/base.go
+++ b/daemon/base.go
@@ -78,11 +78,11 @@
 		ObserveVMs:    callbacks.observeVMs,
 	}, b.mux)
 	b.follower = configlog.NewFollower(configlog.Settings{
-		Log:         b.logClient,
-		Peers:       b.node.configPeers,
-		Logger:      log,
-		Retention:   configlog.Retention{Period: milliseconds(common.Platform.RetentionMS)},
-		CallTimeout: milliseconds(common.Platform.TimeoutMS),
+		Log:            b.logClient,
+		Peers:          b.node.configPeers,
+		Logger:         log,
+		Retention:      configlog.Retention{Period: milliseconds(common.Platform.RetentionMS)},
+		RequestTimeout: milliseconds(common.Platform.TimeoutMS),
 	})
 	b.serveConfig()
 	if b.innerServer, err = inner.Listen(self.Address, b.keys, b.mux); err != nil {
@@ -128,7 +128,7 @@
 // onHeartbeat passes the configuration offset of a received heartbeat to the follower, then the heartbeat to next,
 // if set.
 func (b *base) onHeartbeat(heartbeat inner.Heartbeat, next func(inner.Heartbeat)) {
-	b.follower.Hint(heartbeat.ConfigNext)
+	b.follower.ObservePeerOffset(heartbeat.ConfigNext)
 	if next != nil {
 		next(heartbeat)
 	}
