--- a/control/tenure.go
+++ b/control/tenure.go
@@ -329,9 +329,9 @@
 	for _, stop := range plan.Stops {
 		c.stopAttempt(stop, now)
 	}
-	for _, condemned := range plan.Condemned {
-		if e, ok := c.fold.Get(condemned.Job); ok && t.gangs[condemned.Job] == nil && e.Ended == nil {
-			c.endJob(e.Job, e.Attempt, jobs.StateFailed, condemned.Detail)
+	for _, failure := range plan.PermanentFailures {
+		if e, ok := c.fold.Get(failure.Job); ok && t.gangs[failure.Job] == nil && e.Ended == nil {
+			c.endJob(e.Job, e.Attempt, jobs.StateFailed, failure.Detail)
 		}
 	}
 	for _, start := range plan.Starts {
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -93,8 +93,8 @@
 type Plan struct {
 	Stops  []Stop
 	Starts []Start
-	// Condemned lists jobs that the core failed permanently, such as jobs that failed on several workers.
-	Condemned []Condemned
+	// PermanentFailures lists jobs that the core failed permanently, such as jobs that failed on several workers.
+	PermanentFailures []PermanentFailure
 	// NextCheck is the time at which Plan must be called even if no event arrives; zero if there is none.
 	NextCheck time.Time
 }
@@ -135,8 +135,8 @@
 	CheckpointBound time.Duration
 }
 
-// Condemned is a job that failed permanently and is not started again.
-type Condemned struct {
+// PermanentFailure is a job that failed permanently and is not started again.
+type PermanentFailure struct {
 	Job    string
 	Detail string
 }
--- a/scheduler/check_test.go
+++ b/scheduler/check_test.go
@@ -164,7 +164,7 @@
 
 // checkPlan checks the state after every plan.
 func (k *checker) checkPlan(p Plan) {
-	for _, s := range p.Condemned {
+	for _, s := range p.PermanentFailures {
 		if !k.d.jobs[s.Job].faulty {
 			k.addViolation("good job %s condemned: %s", s.Job, s.Detail)
 		}
--- a/scheduler/driver_test.go
+++ b/scheduler/driver_test.go
@@ -123,7 +123,7 @@
 	for _, s := range p.Starts {
 		d.start(s)
 	}
-	for _, s := range p.Condemned {
+	for _, s := range p.PermanentFailures {
 		d.jobs[s.Job].ended = true
 		delete(d.live, s.Job)
 	}
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -145,7 +145,7 @@
 		c.finish(j, jobs.StateFailed, result.Detail)
 	case c.isFaulty(j):
 		c.finish(j, jobs.StateFailed, "failed on several workers: "+result.Detail)
-		c.plan.Condemned = append(c.plan.Condemned, Condemned{Job: j.ID, Detail: j.reason})
+		c.plan.PermanentFailures = append(c.plan.PermanentFailures, PermanentFailure{Job: j.ID, Detail: j.reason})
 	default:
 		c.backOff(j)
 		c.requeue(j)
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -163,8 +163,8 @@
 		f.endAttempt("bad", Result{Kind: ResultFailed, Workers: []string{id}})
 	}
 	f.wantState("bad", jobs.StateFailed)
-	if p := f.planAndStart(); len(p.Condemned) != 1 || f.core.suspended != 0 {
-		t.Errorf("condemned %+v, %d workers suspended", p.Condemned, f.core.suspended)
+	if p := f.planAndStart(); len(p.PermanentFailures) != 1 || f.core.suspended != 0 {
+		t.Errorf("permanent failures %+v, %d workers suspended", p.PermanentFailures, f.core.suspended)
 	}
 }
 
