--- a/joblog/follower.go
+++ b/joblog/follower.go
@@ -18,14 +18,14 @@
 }
 
 // NewFollower returns a follower that folds the records of log into view. Run starts it.
-func NewFollower(log store.Log, view *View, out zerolog.Logger) *Follower {
+func NewFollower(log store.Log, view *View, logger zerolog.Logger) *Follower {
 	f := &Follower{}
 	streams := []store.Stream{store.States}
 	for part := range IntakeParts {
 		streams = append(streams, store.Stream{Topic: store.TopicIntake, Part: part})
 	}
 	for _, stream := range streams {
-		f.readers = append(f.readers, newReader(log, stream, view, out))
+		f.readers = append(f.readers, newReader(log, stream, view, logger))
 	}
 	return f
 }
