--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -13,7 +13,8 @@
 	// SetConfig replaces the workers, client accounts and policy. The core keeps a reference to doc and does not modify
 	// it.
 	SetConfig(doc *config.Document, now time.Time)
-	// SetWorkerHealth records the health of a worker. A worker that was never reported counts as HealthUnreachable.
+	// SetWorkerHealth records the health of a worker, which need not be in the configuration. A worker that was never
+	// reported counts as HealthUnreachable.
 	SetWorkerHealth(worker string, health Health, now time.Time)
 	// Submit adds a waiting job. It returns a BadInput error for a malformed job, NotFound for an unknown account, and
 	// Infeasible for a job that the configured workers of the failure domain could not hold even if they were all empty
@@ -21,15 +22,17 @@
 	// Submitting a known id again has no effect. The caller must submit a job only to the core of the job's failure
 	// domain.
 	Submit(job jobs.Job, now time.Time) error
-	// Adopt adds a job that a previous active scheduler of the failure domain placed.
+	// Adopt adds a job that the previous holder of the failure domain's schedule placed, with the state of its attempt:
+	// starting, running or stopping. It has no effect on a job that is already placed or has ended.
 	Adopt(job jobs.Job, attempt uint64, placement Placement, state jobs.State, now time.Time)
-	// Started records that all members of the attempt are running.
+	// Started records that all members of the attempt are running. It is ignored for any attempt but the current one.
 	Started(job string, attempt uint64, now time.Time)
-	// Ended records that no member of the attempt uses resources any longer.
+	// Ended records that no member of the attempt uses resources any longer. It is ignored for any attempt but the
+	// current one.
 	Ended(job string, attempt uint64, result Result, now time.Time)
 	// Cancel removes a waiting job, or plans the stop of a placed one. It reports whether the job is known.
 	Cancel(job string, now time.Time) bool
-	// Plan returns the starts and stops that are due now. From then on the core accounts for them as in progress.
+	// Plan returns the starts and stops that are due now. From then on the core counts them as in progress.
 	Plan(now time.Time) Plan
 	// Why returns a one-line explanation of what a waiting job waits for, or the state of any other job.
 	Why(job string, now time.Time) string
@@ -47,7 +50,7 @@
 // The health values.
 const (
 	HealthUp Health = "up"
-	// HealthUnreachable marks a worker that may still run its tasks. Nothing new is placed there.
+	// HealthUnreachable marks a worker that does not respond but may still run its tasks. Nothing new is placed there.
 	HealthUnreachable Health = "unreachable"
 	// HealthLeaving marks a worker that must be drained: its jobs save their progress if they can, and stop.
 	HealthLeaving Health = "leaving"
@@ -72,7 +75,7 @@
 	// ResultLost marks an attempt that ended because workers were lost. The job waits again unless it is a run-once
 	// job.
 	ResultLost ResultKind = "lost"
-	// ResultNotStarted marks an attempt that never ran; Workers names the workers that refused it.
+	// ResultNotStarted marks an attempt that never ran; Workers names the workers that rejected it.
 	ResultNotStarted ResultKind = "not_started"
 	// ResultUnknown marks an attempt of a run-once job that may have run.
 	ResultUnknown ResultKind = "unknown"
@@ -81,7 +84,7 @@
 // Result describes how an attempt ended.
 type Result struct {
 	Kind ResultKind
-	// Workers names the workers that caused a failure, a loss or a refusal.
+	// Workers names the workers that caused a failure or a loss, or that rejected a start.
 	Workers []string
 	// Detail is the reason that operators are shown.
 	Detail string
@@ -89,7 +92,7 @@
 	Checkpointed bool
 }
 
-// Plan lists the actions that the caller must carry out now.
+// Plan lists the actions that the caller must carry out now, the stops before the starts.
 type Plan struct {
 	Stops  []Stop
 	Starts []Start
@@ -106,7 +109,7 @@
 	// failure domain.
 	Attempt   uint64
 	Placement Placement
-	// Borrowed reports whether any member runs on capacity that is bound to an unclaimed guarantee.
+	// Borrowed reports whether any member runs on capacity that is bound to an unclaimed cell.
 	Borrowed bool
 }
 
@@ -115,10 +118,13 @@
 
 // The stop reasons.
 const (
-	StopReclaim     StopReason = "reclaim"
+	// StopReclaim makes room for a claim, or keeps the account of the claim within its quota.
+	StopReclaim StopReason = "reclaim"
+	// StopReservation makes room for a job with a reservation.
 	StopReservation StopReason = "reservation"
 	StopCancelled   StopReason = "cancelled"
-	StopDrain       StopReason = "drain"
+	// StopDrain stops a job on a worker that is drained or leaving, or whose capacity the configuration reduced.
+	StopDrain StopReason = "drain"
 	// StopLost stops the remaining members of a gang that lost one.
 	StopLost StopReason = "lost"
 	// StopConsolidate stops a job in order to move it, so that free accelerators become adjacent.
@@ -145,7 +151,7 @@
 type Usage struct {
 	Account string
 	Used    resource.Resources
-	// Borrowed is the part of Used by jobs that run outside the account's own guarantees, on unbound capacity or on
-	// capacity bound to a guarantee.
-	Borrowed resource.Resources
+	// OutsideGuarantees is the part of Used by jobs that run in no cell of their account, on unbound capacity or on
+	// capacity that is bound to cells. It includes capacity that Start.Borrowed counts as borrowed.
+	OutsideGuarantees resource.Resources
 }
--- a/scheduler/baseline_test.go
+++ b/scheduler/baseline_test.go
@@ -86,11 +86,11 @@
 		}
 		j.attempt++
 		b.placed[j.ID] = j
-		names := make(Placement, 0, len(j.placement))
+		ids := make(Placement, 0, len(j.placement))
 		for _, i := range j.placement {
-			names = append(names, b.workers[i].ID)
+			ids = append(ids, b.workers[i].ID)
 		}
-		p.Starts = append(p.Starts, Start{Job: j.Job, Attempt: j.attempt, Placement: names})
+		p.Starts = append(p.Starts, Start{Job: j.Job, Attempt: j.attempt, Placement: ids})
 	}
 	b.waiting = stillWaiting
 	return p
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -186,14 +186,14 @@
 
 // usefulWithin returns the accelerator-seconds of an attempt before the horizon whose progress was kept.
 func usefulWithin(d *driver, j *simJob, r Result, horizon time.Time) float64 {
-	if j.ran.IsZero() || r.Kind != ResultCompleted && !r.Checkpointed {
+	if j.runningSince.IsZero() || r.Kind != ResultCompleted && !r.Checkpointed {
 		return 0
 	}
 	end := d.now
 	if end.After(horizon) {
 		end = horizon
 	}
-	return max(0, end.Sub(j.ran).Seconds()) * float64(j.Shape.Total().Accelerators)
+	return max(0, end.Sub(j.runningSince).Seconds()) * float64(j.Shape.Total().Accelerators)
 }
 
 // watchClaims counts claims that did not start within the reclaim bound. A job is a claim if it has the guaranteed
--- a/scheduler/binding.go
+++ b/scheduler/binding.go
@@ -8,8 +8,7 @@
 )
 
 // findBinding returns healthy workers to which an unbound cell can be bound, nil if there are none. Stoppable work that
-// already runs there is ignored, since a claim can stop it; among workers of equal cost, those with free capacity are
-// preferred.
+// already runs there is ignored, since a claim can stop it; workers with free capacity are only preferred.
 func (c *Core) findBinding(cl *cell) []*worker {
 	s := cl.shape
 	var best []*worker
@@ -36,7 +35,9 @@
 }
 
 // bindWithin places a shape on the given workers, starting with those that have the least bindable capacity left. The
-// cost is the bindable capacity left over, plus a small surcharge where a claim would have to stop work.
+// cost on a single worker is the bindable capacity left over, plus a small surcharge if a claim would have to stop
+// work. The cost on several workers is the bindable accelerators of all workers that hold a member. The result is nil
+// if the shape does not fit.
 func bindWithin(s resource.Shape, workers []*worker, singleWorker bool) ([]*worker, float64) {
 	var found []candidate
 	left := 0
@@ -79,7 +80,7 @@
 // bounded cost.
 const repackAttempts = 16
 
-// repack binds all unclaimed cells again when some could not be bound, and keeps the result with the fewest unbound
+// repack binds all unclaimed cells again after some could not be bound, and keeps the result with the fewest unbound
 // cells.
 func (c *Core) repack() {
 	unclaimed := slices.DeleteFunc(c.cellsByDifficulty(), func(cl *cell) bool { return cl.claim != nil })
@@ -147,15 +148,16 @@
 }
 
 // startByDisplacing starts unstoppable work on free capacity that unclaimed cells are bound to, if these cells can be
-// bound elsewhere. Moving an unclaimed binding stops no work, since borrowed work is ignored when a cell is bound.
+// bound to other workers. Moving an unclaimed binding stops no work, since borrowed work is ignored when a cell is
+// bound. It reports whether the job was started.
 func (c *Core) startByDisplacing(j *job) bool {
-	key := shapeKey{shape: j.Shape, runOnce: j.RunOnce, displacing: true}
-	if j.class.key.solo != "" || c.failedSearches[key] >= c.seq {
+	key := searchKey{shape: j.Shape, runOnce: j.RunOnce, displacing: true}
+	if j.class.key.solo != "" || c.failedSearches[key] >= c.freedSeq {
 		return false
 	}
 	placement := c.findPlacement(&placementRequest{job: j, shape: j.Shape})
-	if placement == nil || !usableBy(j, placement) || !c.displace(j, placement) {
-		c.failedSearches[key] = c.seq
+	if placement == nil || !mayRunOn(j, placement) || !c.displace(j, placement) {
+		c.failedSearches[key] = c.freedSeq
 		return false
 	}
 	c.start(j, placement)
--- a/scheduler/check_test.go
+++ b/scheduler/check_test.go
@@ -38,7 +38,7 @@
 	// failingSince holds the time since which a faulty worker has failed jobs without being quarantined.
 	failingSince     map[string]time.Time
 	faultyBurstUntil time.Time
-	faultyWorker     func(string) bool
+	isFaultyWorker   func(string) bool
 	faultFree        bool
 	trace            []string
 	violations       []string
@@ -148,7 +148,7 @@
 	}
 	k.failureCounts[j.ID]++
 	for _, id := range r.Workers {
-		if !k.faultyWorker(id) || (k.suspended()+1)*100 > k.doc.Policy.QuarantinePercent*len(k.doc.Workers) {
+		if !k.isFaultyWorker(id) || (k.suspended()+1)*100 > k.doc.Policy.QuarantinePercent*len(k.doc.Workers) {
 			delete(k.failingSince, id)
 			continue
 		}
@@ -184,10 +184,10 @@
 		}
 	}
 	for _, w := range k.core.ordered {
-		if w.standing.phase != phaseTrusted {
+		if w.standing.phase != phaseNormal {
 			delete(k.failingSince, w.id)
 		}
-		if w.standing.phase != phaseTrusted && !k.faultyWorker(w.id) && k.d.now.Before(k.faultyBurstUntil) {
+		if w.standing.phase != phaseNormal && !k.isFaultyWorker(w.id) && k.d.now.Before(k.faultyBurstUntil) {
 			k.addViolation("healthy worker %s mistaken for a faulty one", w.id)
 		}
 	}
@@ -200,7 +200,7 @@
 func (k *checker) suspended() int {
 	n := 0
 	for _, w := range k.core.ordered {
-		if w.standing.phase != phaseTrusted {
+		if w.standing.phase != phaseNormal {
 			n++
 		}
 	}
@@ -291,7 +291,7 @@
 		bound := time.Duration(k.doc.Policy.ReclaimBoundMS) * time.Millisecond
 		k.d.after(bound, func() {
 			// A later claim, such as an urgent one, may have taken the guarantee.
-			if j.firstStart.IsZero() && !j.cancelled && k.placedCount(j.Account, g.Shape) < g.Count {
+			if j.firstStart.IsZero() && !j.cancelRequested && k.placedCount(j.Account, g.Shape) < g.Count {
 				k.addViolation("claim %s not started within %s: %s", j.ID, bound, k.core.Why(j.ID, k.d.now))
 			}
 		})
--- a/scheduler/conditions.go
+++ b/scheduler/conditions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Conditions describes the states of a failure domain that an operator should know of, as of the last Plan.
+// Conditions describes the states of a failure domain that operators should know of, as of the last Plan.
 type Conditions struct {
 	// Quarantined lists the workers that were quarantined because several different jobs failed there, ordered by rack
 	// and id.
@@ -11,7 +11,7 @@
 	Degraded []DegradedGuarantee
 }
 
-// QuarantinedWorker is a worker that gets no job before Until; after that it gets one trial job.
+// QuarantinedWorker is a worker on which no job is placed before Until. After that it gets a trial job.
 type QuarantinedWorker struct {
 	Worker string
 	Until  time.Time
--- a/scheduler/consolidate.go
+++ b/scheduler/consolidate.go
@@ -17,7 +17,7 @@
 )
 
 // consolidate frees capacity for one more standard large shape by moving jobs that can save their progress, or that
-// have little to lose, into scattered free capacity. It runs only if the policy weighs fragmentation, and moves jobs
+// lose little by a stop, into scattered free capacity. It runs only if the policy weighs fragmentation, and moves jobs
 // only if all of them fit elsewhere at once.
 func (c *Core) consolidate() {
 	standard := c.policy.StandardLargeShape
@@ -26,46 +26,48 @@
 		return
 	}
 	if c.recheck || c.reviewedPlan == c.planCount {
-		// Bounds the time of one plan; the next plan follows soon.
+		// Another step of this plan was expensive, so consolidation waits for the next plan, which follows soon. This
+		// bounds the time of one plan.
 		return
 	}
 	c.nextConsolidation = c.now.Add(c.maxWaits(consolidationIntervalWaits))
 	standardJob := &job{Job: jobs.Job{Shape: standard, CanCheckpoint: true}}
 	var placements [][]*worker
-	for c.freeAccelerators() >= standard.Total().Accelerators {
+	for c.countFreeAccelerators() >= standard.Total().Accelerators {
 		placement := c.findPlacement(&placementRequest{job: standardJob, shape: standard})
 		if placement == nil {
 			c.stopForConsolidation(standardJob)
 			break
 		}
 		placements = append(placements, placement)
-		addHeld(placement, standard.PerMember, 1)
+		addHeldForClaims(placement, standard.PerMember, 1)
 	}
 	for _, placement := range placements {
-		addHeld(placement, standard.PerMember, -1)
+		addHeldForClaims(placement, standard.PerMember, -1)
 	}
 }
 
-// freeAccelerators counts the free accelerators of healthy workers that are not quarantined.
-func (c *Core) freeAccelerators() int {
+// countFreeAccelerators returns the number of free accelerators of usable workers that are not in quarantine.
+func (c *Core) countFreeAccelerators() int {
 	n := 0
 	for _, rk := range c.racks {
 		rk.refresh()
-		n += rk.total
+		n += rk.freeAccelerators
 	}
 	return n
 }
 
-// addHeld adds the members of a placement to the held capacity of their workers, or removes them if sign is -1.
-func addHeld(placement []*worker, per resource.Resources, sign int) {
+// addHeldForClaims adds the members of a placement to the capacity held for claims on their workers, or subtracts them
+// if sign is -1. Consolidation uses it to mark capacity as taken during a search.
+func addHeldForClaims(placement []*worker, per resource.Resources, sign int) {
 	for _, w := range placement {
-		w.held = w.held.Add(per.Times(sign))
+		w.heldForClaims = w.heldForClaims.Add(per.Times(sign))
 		w.rack.stale = true
 	}
 }
 
-// stopForConsolidation finds the placement for the standard large shape that loses the least work, and stops the jobs
-// there if the loss is within the limit and they all fit elsewhere.
+// stopForConsolidation searches the placement for the standard large shape that loses the least work, and stops the
+// jobs there if the loss is within the limit and they all fit elsewhere.
 func (c *Core) stopForConsolidation(standardJob *job) {
 	p := &preemption{core: c, job: standardJob, moving: true}
 	placement, cost := p.findPlacement()
@@ -98,25 +100,26 @@
 		moves = append(moves, move{[]*worker{w}, w.free().Sub(w.reserved)})
 	})
 	for _, m := range moves {
-		addHeld(m.placement, m.per, 1)
+		addHeldForClaims(m.placement, m.per, 1)
 	}
 	ok := true
 	for _, v := range victims {
-		to := c.findPlacement(c.placementRequest(v))
+		to := c.findPlacement(c.ordinaryRequest(v))
 		if to == nil {
 			ok = false
 			break
 		}
-		addHeld(to, v.Shape.PerMember, 1)
+		addHeldForClaims(to, v.Shape.PerMember, 1)
 		moves = append(moves, move{to, v.Shape.PerMember})
 	}
 	for _, m := range moves {
-		addHeld(m.placement, m.per, -1)
+		addHeldForClaims(m.placement, m.per, -1)
 	}
 	return ok
 }
 
-// mayMove reports whether consolidation may move v.
+// mayMove reports whether consolidation may move v: it is running, stoppable, not urgent, in no cell, and was not moved
+// within moveIntervalWaits.
 func (c *Core) mayMove(v *job) bool {
 	return !v.unstoppable() && v.cell == nil && !v.Urgent && v.state == jobs.StateRunning &&
 		(v.movedAt.IsZero() || c.now.Sub(v.movedAt) >= c.maxWaits(moveIntervalWaits))
--- a/scheduler/core.go
+++ b/scheduler/core.go
@@ -9,7 +9,8 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// finalJobsKept is the number of ended jobs whose state stays readable.
+// finalJobsKept is the number of ended jobs that remain readable after the oldest ones are removed. They are removed
+// when twice as many have ended.
 const finalJobsKept = 4096
 
 // Core is the placement core of one failure domain. It implements Planner.
@@ -17,14 +18,16 @@
 	failureDomain string
 	options       options
 	policy        config.Policy
-	configured    bool
+	// configured is set by the first SetConfig.
+	configured bool
 	// now is the latest time passed to any call.
 	now time.Time
-	// seq numbers the changes that free capacity; submissions numbers the jobs.
-	seq, submissions uint64
+	// freedSeq counts the changes that free capacity, from 1, since 0 stands for no earlier search. submissions counts
+	// the submitted and adopted jobs.
+	freedSeq, submissions uint64
 
 	workers map[string]*worker
-	// ordered lists the configured workers by rack and id; racks groups them.
+	// ordered lists the configured workers of the failure domain by rack and id; racks groups them.
 	ordered []*worker
 	racks   []*rack
 	// largestRack is the number of accelerators of the largest rack.
@@ -35,7 +38,9 @@
 	accounts map[string]*account
 	// cells lists all cells, by account and guarantee.
 	cells []*cell
-	// bindingStale asks for a repair of the bindings; retryBinding does so only while guarantees are degraded.
+	// bindingStale is set if the bindings must be repaired, retryBinding if this is needed only while guarantees are
+	// degraded; boundOnce is set by the first repair. unboundCells counts the cells that the last repair could not
+	// bind.
 	bindingStale, retryBinding, boundOnce bool
 	unboundCells                          int
 
@@ -45,42 +50,44 @@
 	finalCount   int
 
 	classes map[classKey]*class
-	// active lists the classes that have waiting jobs.
+	// active lists the classes that have waiting jobs. orderStale is set if it must be sorted again. waiting counts the
+	// jobs in all classes.
 	active     []*class
 	orderStale bool
 	waiting    int
-	// failedSearches holds the value of seq at the last search of each kind that found no placement.
-	failedSearches map[shapeKey]uint64
+	// failedSearches holds the value of freedSeq at the last search of each kind that found no placement.
+	failedSearches map[searchKey]uint64
 	// holds lists the jobs that have a hold, for a claim or as a reservation.
 	holds []*job
 	// nextConsolidation is the earliest time of the next consolidation.
 	nextConsolidation time.Time
 
-	// workersToReview lists the workers that changed and may be leaving, gone or overcommitted.
+	// workersToReview lists the workers that changed and may be leaving, gone, removed or overcommitted.
 	workersToReview []*worker
 	// suspended counts the workers in quarantine or on trial.
 	suspended int
 
+	// plan collects the actions of the next plan; events between two plans add to it.
 	plan Plan
 	// planCount counts the calls of Plan; recheck requests another one after recheckDelay.
 	planCount uint64
 	recheck   bool
-	// reviewedPlan is the number of the plan that last reviewed a reservation.
+	// reviewedPlan is the number of the plan that last reviewed a reservation, so that a plan reviews at most one.
 	reviewedPlan uint64
 	// untilCloseValue and untilCloseFound cache the result of untilClose for the plan numbered untilClosePlan.
 	untilCloseValue time.Duration
 	untilCloseFound bool
 	untilClosePlan  uint64
-	// scratch and classBuffer are buffers reused between calls.
-	scratch     []candidate
-	classBuffer []*class
+	// candidateBuffer and classBuffer are reused between calls to avoid allocations.
+	candidateBuffer []candidate
+	classBuffer     []*class
 }
 
 // options disables single mechanisms, so that tests can show that their checks fail without them.
 type options struct {
 	// lendToUnstoppable lets unstoppable work use capacity that is bound to guarantees.
 	lendToUnstoppable bool
-	// noRebinding never repairs bindings after the first time.
+	// noRebinding repairs the bindings only once.
 	noRebinding bool
 	noReclaim   bool
 	noQuota     bool
@@ -101,8 +108,8 @@
 	noFailureConfirmation, noQuarantineBound bool
 	// stopUnstoppable allows unstoppable work to be stopped for other jobs.
 	stopUnstoppable bool
-	// ignoreHeld lets other jobs start on capacity whose victims are being stopped.
-	ignoreHeld bool
+	// ignoreClaimHolds lets other jobs start on capacity that is held for claims.
+	ignoreClaimHolds bool
 }
 
 var _ Planner = (*Core)(nil)
@@ -116,12 +123,12 @@
 		accounts:       make(map[string]*account),
 		jobs:           make(map[string]*job),
 		classes:        make(map[classKey]*class),
-		failedSearches: make(map[shapeKey]uint64),
-		seq:            1,
+		failedSearches: make(map[searchKey]uint64),
+		freedSeq:       1,
 	}
 }
 
-// advance moves the core's time forward. An earlier time has no effect.
+// advance moves the core's time forward. A time before the latest one has no effect.
 func (c *Core) advance(now time.Time) {
 	if now.After(c.now) {
 		c.now = now
@@ -132,7 +139,7 @@
 // every plan.
 const minMaxWait = time.Second
 
-// maxWait returns the wait after which a blocked gang gets a reservation.
+// maxWait returns policy.max_wait_ms, at least minMaxWait: the wait after which a blocked gang gets a reservation.
 func (c *Core) maxWait() time.Duration {
 	return max(time.Duration(c.policy.MaxWaitMS)*time.Millisecond, minMaxWait)
 }
@@ -154,7 +161,7 @@
 	c.configured = true
 	c.setWorkers(doc)
 	c.setAccounts(doc)
-	c.rekey()
+	c.updateQueueTimes()
 	clear(c.failedSearches)
 	c.bindingStale = true
 }
@@ -181,7 +188,7 @@
 		w.removed = false
 		w.capacity = spec.Capacity
 		w.rack = &rack{name: spec.Rack}
-		_, w.drained = doc.Drains[id]
+		_, w.drainRequested = doc.Drains[id]
 		c.ordered = append(c.ordered, w)
 	}
 	slices.SortFunc(c.ordered, func(a, b *worker) int {
@@ -204,11 +211,11 @@
 		rk := c.racks[last]
 		w.rack = rk
 		rk.workers = append(rk.workers, w)
-		rk.accelerators += w.capacity.Accelerators
+		rk.totalAccelerators += w.capacity.Accelerators
 		for _, o := range w.occupants {
 			rk.uncheckpointed += o.job.uncheckpointedOn(o.members)
 		}
-		c.largestRack = max(c.largestRack, rk.accelerators)
+		c.largestRack = max(c.largestRack, rk.totalAccelerators)
 		c.markChanged(w, true)
 	}
 }
@@ -238,18 +245,18 @@
 	for _, name := range names {
 		spec, ok := doc.Accounts[name]
 		a := c.accounts[name]
-		a.known = ok
+		a.inConfig = ok
 		a.quota = spec.Quota
 		c.setGuarantees(a, spec.Guarantees)
 		c.cells = append(c.cells, a.cells...)
 	}
 }
 
-// rekey recomputes the queue keys of the waiting jobs after a policy change.
-func (c *Core) rekey() {
+// updateQueueTimes recomputes the queue times of the waiting jobs after a policy change.
+func (c *Core) updateQueueTimes() {
 	for _, q := range c.active {
 		for j := q.head; j != nil; j = j.next {
-			j.key = c.queueKey(j)
+			j.queueTime = c.computeQueueTime(j)
 		}
 	}
 	c.orderStale = true
@@ -310,7 +317,7 @@
 		for _, j := range a.placed {
 			u.Used = u.Used.Add(j.Shape.Total())
 			if j.cell == nil {
-				u.Borrowed = u.Borrowed.Add(j.Shape.Total())
+				u.OutsideGuarantees = u.OutsideGuarantees.Add(j.Shape.Total())
 			}
 		}
 		list = append(list, u)
--- a/scheduler/driver_test.go
+++ b/scheduler/driver_test.go
@@ -51,13 +51,13 @@
 	arrivedAt time.Time
 	attempt   uint64
 	placement Placement
-	// ran is when the members began to run, zero before that.
-	ran                 time.Time
+	// runningSince is when the members began to run, zero before that.
+	runningSince        time.Time
 	stopping            bool
 	ended               bool
 	starts              int
 	mayRunAgain         bool
-	cancelled           bool
+	cancelRequested     bool
 	firstStart, endedAt time.Time
 	lostTime            time.Duration
 }
@@ -164,7 +164,7 @@
 		d.onStart(j, s)
 	}
 	j.attempt, j.placement, j.stopping = s.Attempt, s.Placement, false
-	j.ran = time.Time{}
+	j.runningSince = time.Time{}
 	j.starts++
 	j.mayRunAgain = !j.RunOnce
 	if j.firstStart.IsZero() {
@@ -192,7 +192,7 @@
 	if !d.responsive(j, attempt) || j.stopping {
 		return
 	}
-	j.ran = d.now
+	j.runningSince = d.now
 	d.timeCall(func() { d.planner.Started(j.ID, attempt, d.now) })
 	if d.failsOn != nil {
 		if id, ok := d.failsOn(j); ok {
@@ -239,8 +239,8 @@
 	}
 	j.placement = nil
 	ran := time.Duration(0)
-	if !j.ran.IsZero() {
-		ran = d.now.Sub(j.ran)
+	if !j.runningSince.IsZero() {
+		ran = d.now.Sub(j.runningSince)
 	}
 	switch {
 	case r.Kind == ResultCompleted:
@@ -251,7 +251,7 @@
 		j.lostTime += ran
 	}
 	final := r.Kind == ResultFailed || r.Kind == ResultLost || r.Kind == ResultStopped && !r.Checkpointed
-	j.ended = r.Kind == ResultCompleted || r.Kind == ResultUnknown || j.cancelled || j.RunOnce && final
+	j.ended = r.Kind == ResultCompleted || r.Kind == ResultUnknown || j.cancelRequested || j.RunOnce && final
 	if j.ended {
 		j.endedAt = d.now
 		delete(d.live, j.ID)
@@ -284,7 +284,7 @@
 		d.after(time.Second, func() { d.finishStop(j, s) })
 		return
 	}
-	if j.ran.IsZero() {
+	if j.runningSince.IsZero() {
 		d.endAttempt(j, Result{Kind: ResultNotStarted})
 		return
 	}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -32,7 +32,7 @@
 		return nil
 	}
 	a := c.accounts[spec.Account]
-	if a == nil || !a.known {
+	if a == nil || !a.inConfig {
 		return errkind.New(errkind.NotFound, "create the account or correct the name",
 			"account %q is not in the configuration", spec.Account)
 	}
@@ -51,8 +51,8 @@
 // addJob creates the record of a new job.
 func (c *Core) addJob(spec jobs.Job) *job {
 	c.submissions++
-	j := &job{Job: spec, owner: c.account(spec.Account), seq: c.submissions, submittedAt: c.now, waitingSince: c.now}
-	j.key = c.queueKey(j)
+	j := &job{Job: spec, owner: c.account(spec.Account), submission: c.submissions, submittedAt: c.now, waitingSince: c.now}
+	j.queueTime = c.computeQueueTime(j)
 	c.jobs[spec.ID] = j
 	c.bySubmission = append(c.bySubmission, j)
 	return j
@@ -116,13 +116,13 @@
 		c.recordRunTime(j, now)
 		c.recordSuccess(j, placement)
 		c.finish(j, jobs.StateCompleted, result.Detail)
-	case j.cancelled && result.Kind == ResultStopped:
+	case j.cancelRequested && result.Kind == ResultStopped:
 		c.finish(j, jobs.StateCancelled, "cancelled")
 	case result.Kind == ResultUnknown, c.mustNotRepeat(j, result):
 		c.finish(j, jobs.StateUnknown, "may have run: "+result.Detail)
 	case result.Kind == ResultFailed:
 		c.handleFailure(j, placement, result)
-	case j.cancelled:
+	case j.cancelRequested:
 		c.finish(j, jobs.StateCancelled, "cancelled")
 	default:
 		if result.Kind == ResultNotStarted && !planned {
@@ -132,7 +132,8 @@
 	}
 }
 
-// mustNotRepeat reports whether a run-once job ended without a known outcome after it may have run.
+// mustNotRepeat reports whether j is a run-once job whose attempt may have run and was lost, or was stopped without
+// saved progress.
 func (c *Core) mustNotRepeat(j *job, result Result) bool {
 	if !j.RunOnce || c.options.restartRunOnce {
 		return false
@@ -146,27 +147,27 @@
 	return false
 }
 
-// requeue returns a job to its queue after an attempt that failed, was stopped, was lost or never ran.
+// requeue returns a job to its class after an attempt that failed, was stopped, was lost or never ran.
 func (c *Core) requeue(j *job) {
 	j.state = jobs.StateWaiting
 	j.reason = ""
 	j.waitingSince = c.now
 	j.runningSince, j.startedAt = time.Time{}, time.Time{}
-	j.key = c.queueKey(j)
+	j.queueTime = c.computeQueueTime(j)
 	c.enqueue(j)
 }
 
-// Cancel implements Planner. Its amortized cost does not depend on the number of jobs.
+// Cancel implements Planner. Its amortised cost does not depend on the number of jobs.
 func (c *Core) Cancel(id string, now time.Time) bool {
 	c.advance(now)
 	j := c.jobs[id]
 	if j == nil {
 		return false
 	}
-	if j.cancelled || j.state.Final() {
+	if j.cancelRequested || j.state.Final() {
 		return true
 	}
-	j.cancelled = true
+	j.cancelRequested = true
 	if j.placed() {
 		c.stop(j, StopCancelled)
 		return true
@@ -176,7 +177,7 @@
 	return true
 }
 
-// removeWaiting removes a waiting job from its queue and releases its hold and claim.
+// removeWaiting removes a waiting job from its class and releases its hold and claim.
 func (c *Core) removeWaiting(j *job) {
 	c.dequeue(j)
 	if j.hold != nil {
@@ -190,7 +191,7 @@
 func (c *Core) finish(j *job, state jobs.State, reason string) {
 	j.state = state
 	j.reason = reason
-	j.failures = nil
+	j.avoided = nil
 	c.finalCount++
 	if c.finalCount > 2*finalJobsKept {
 		c.prune()
@@ -214,12 +215,12 @@
 	c.bySubmission = kept
 }
 
-// releaseLostMembers releases the resources of all members on a worker whose tasks no longer run, and ends or stops
-// their jobs.
+// releaseLostMembers releases the resources of all members on a worker whose tasks no longer run. It stops the jobs
+// that have other members left, and ends the others as lost.
 func (c *Core) releaseLostMembers(w *worker) {
 	for len(w.occupants) > 0 {
 		j := w.occupants[0].job
-		c.releaseWorker(j, w)
+		c.releaseMembersOn(j, w)
 		if c.hasRemainingMembers(j) {
 			c.stop(j, StopLost)
 			continue
--- a/scheduler/guarantee.go
+++ b/scheduler/guarantee.go
@@ -9,10 +9,10 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// cell is one copy of a guaranteed shape. It is bound to concrete healthy workers, which proves that the guarantee can
-// be packed, whatever borrowed work runs there (HiveD, OSDI 2020). Bindings are disjoint: on every healthy worker the
-// bound members and the unstoppable work together stay within the capacity, so stopping all other work always makes
-// room.
+// cell is one copy of a guaranteed shape. It is bound to specific healthy workers, which proves that the guarantee fits
+// the healthy capacity, whatever borrowed work runs there (HiveD, OSDI 2020). Bindings are disjoint: on every healthy
+// worker the bound members and the unstoppable work together stay within the capacity, so stopping all other work
+// always makes room.
 type cell struct {
 	account *account
 	shape   resource.Shape
@@ -33,8 +33,8 @@
 	return cl.shape.PerMember.Times(n)
 }
 
-// healthy reports whether the cell is bound and all its workers may get work.
-func (cl *cell) healthy() bool {
+// boundToHealthyWorkers reports whether the cell is bound and all its workers are healthy.
+func (cl *cell) boundToHealthyWorkers() bool {
 	for _, w := range cl.workers {
 		if !w.eligible() {
 			return false
@@ -106,8 +106,8 @@
 	}
 }
 
-// unbind removes the binding of a cell. A running job that claims it becomes ordinary work; a claim that waits for its
-// victims returns to waiting for a cell.
+// unbind removes the binding of a cell and ends its claim. A running claim becomes ordinary work. A claim that waits
+// for its victims loses its hold; unbind does not return it to its class.
 func (c *Core) unbind(cl *cell) {
 	if j := cl.claim; j != nil {
 		if j.hold != nil {
@@ -147,7 +147,7 @@
 	c.retryBinding = true
 }
 
-// detach turns a placed claim into ordinary work.
+// detach ends the claim of j. If j is placed, it continues as ordinary work.
 func (c *Core) detach(j *job) {
 	if j.cell == nil {
 		return
@@ -200,7 +200,7 @@
 		s.PerMember.Fits(g.PerMember) && adjacencySatisfied(s.Adjacency, g.Adjacency)
 }
 
-// covers reports whether a job of shape s fits into the cell.
+// covers reports whether a job of shape s fits into the cell. It may be smaller than the guaranteed shape.
 func (cl *cell) covers(s resource.Shape) bool {
 	g := cl.shape
 	return s.Members <= g.Members && s.PerMember.Fits(g.PerMember) && adjacencySatisfied(s.Adjacency, g.Adjacency)
@@ -211,8 +211,8 @@
 	return want == have || want == resource.AdjacencyNone || have == resource.AdjacencyWorker
 }
 
-// unclaimedCell returns a bound cell without a claim whose guarantee j matches, nil if there is none. With covering set
-// it accepts any cell that j fits into, for unstoppable work, which gets no borrowed capacity.
+// unclaimedCell returns a bound cell of the account without a claim, whose guarantee j matches; nil if there is none.
+// If covering is true, it also accepts a cell that j fits into without matching its guarantee.
 func (c *Core) unclaimedCell(j *job, covering bool) *cell {
 	for _, cl := range j.owner.cells {
 		if cl.claim != nil || cl.workers == nil {
@@ -225,7 +225,8 @@
 	return nil
 }
 
-// rebind repairs the bindings after a change of workers, configuration or unstoppable work.
+// rebind repairs the bindings after a change of workers, configuration or unstoppable work. It unbinds cells whose
+// workers became unhealthy or overcommitted, and binds as many unbound cells as fit.
 func (c *Core) rebind() {
 	if !c.bindingStale && !(c.retryBinding && c.unboundCells > 0) {
 		c.retryBinding = false
@@ -237,7 +238,7 @@
 	}
 	c.boundOnce = true
 	for _, cl := range c.cells {
-		if cl.workers != nil && !cl.healthy() {
+		if cl.workers != nil && !cl.boundToHealthyWorkers() {
 			c.unbind(cl)
 		}
 	}
@@ -255,8 +256,8 @@
 	}
 }
 
-// unbindOvercommitted unbinds cells on workers whose capacity shrank or that run adopted unstoppable work, unclaimed
-// cells first.
+// unbindOvercommitted unbinds cells on workers whose capacity was reduced or that run adopted unstoppable work, until
+// the rest fits; unclaimed cells first.
 func (c *Core) unbindOvercommitted() {
 	for _, w := range c.ordered {
 		for len(w.cells) > 0 && !w.bound.Add(w.unstoppable).Fits(w.capacity) {
@@ -310,7 +311,8 @@
 	return sorted
 }
 
-// adjacencyDifficulty ranks the adjacency of a shape by how hard it is to satisfy.
+// adjacencyDifficulty ranks the adjacency of a shape by how hard it is to satisfy, from 0 (any workers) to 2 (one
+// rack).
 func adjacencyDifficulty(s resource.Shape) int {
 	switch {
 	case s.Members == 1, s.Adjacency == resource.AdjacencyNone:
@@ -321,8 +323,8 @@
 	return 2
 }
 
-// assertReclaimable checks invariant P1: every bound cell is on healthy workers whose other bindings and unstoppable
-// work leave room for it. Unbound cells are not checked; Degraded lists their guarantees.
+// assertReclaimable checks invariant.GuaranteeReclaimable: every bound cell is on healthy workers whose other bindings
+// and unstoppable work leave room for it. Unbound cells are not checked; Degraded lists their guarantees.
 func (c *Core) assertReclaimable() {
 	for _, w := range c.ordered {
 		if len(w.cells) == 0 {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -13,22 +13,23 @@
 	shape resource.Shape
 	// unstoppable marks work that cannot be stopped; it may use only capacity to which no guarantee is bound.
 	unstoppable bool
-	// backfill allows the use of capacity reserved for other jobs.
+	// backfill allows the use of capacity under open reservations.
 	backfill bool
-	// cell is the cell that is bound to the placement that is found, nil for ordinary work.
+	// cell is the cell that the job claims and that will be bound to the placement, nil for ordinary work.
 	cell *cell
-	// since restricts the search to racks in which capacity was freed after this sequence number; 0 searches all racks.
+	// since restricts the search to racks in which capacity was freed after this value of Core.freedSeq; 0 searches all
+	// racks. If any rack qualifies, a search for workers of several racks covers all racks.
 	since uint64
 }
 
-// candidate is a worker with the number of members that fit and its score; a lower score is better.
+// candidate is a worker with the number of members that fit there and its score; a lower score is better.
 type candidate struct {
 	worker *worker
 	fits   int
 	score  float64
 }
 
-// fitCount returns how many times need fits into room.
+// fitCount returns how many times need fits into room, at most resource.MaxMembers.
 func fitCount(need, room resource.Resources) int {
 	n := resource.MaxMembers
 	if need.Accelerators > 0 {
@@ -52,13 +53,14 @@
 	}
 }
 
-// availableFor returns the resources of w that the request may use now, without stopping any job.
+// availableFor returns the resources of w that the request may use now, without stopping any job. Components may be
+// negative.
 func (c *Core) availableFor(w *worker, r *placementRequest) resource.Resources {
 	free := w.free()
 	switch {
 	case r.cell != nil:
 	case r.backfill:
-		free = free.Sub(w.closed)
+		free = free.Sub(w.closedReserved)
 	default:
 		free = free.Sub(w.reserved)
 	}
@@ -72,6 +74,7 @@
 }
 
 // bindable returns the capacity of w that is neither bound to a cell, other than except, nor used by unstoppable work.
+// except may be nil.
 func (w *worker) bindable(except *cell) resource.Resources {
 	e := w.capacity.Sub(w.bound).Sub(w.unstoppable)
 	if except == nil {
@@ -80,19 +83,20 @@
 	return e.Add(except.boundOn(w))
 }
 
-// admits reports whether the health and standing of w allow the request.
+// admits reports whether the health of w, its quarantine or trial, and earlier failures permit to place the request
+// there.
 func (c *Core) admits(w *worker, r *placementRequest) bool {
 	if w.eligible() {
-		// A run-once job that fails is lost, so it avoids workers under suspicion unless it claims its guarantee.
+		// A run-once job that fails is not repeated, so it avoids workers under suspicion unless it claims a cell.
 		risky := r.job != nil && r.job.RunOnce && r.cell == nil && c.underSuspicion(w)
-		return !risky && (r.job == nil || !r.job.failedOn(w))
+		return !risky && (r.job == nil || !r.job.mustAvoid(w))
 	}
 	return r.cell == nil && r.job != nil && w.acceptsTrial(r.job)
 }
 
 // findPlacement returns the best placement that requires no stop, nil if there is none.
 func (c *Core) findPlacement(r *placementRequest) []*worker {
-	if r.since >= c.seq {
+	if r.since >= c.freedSeq {
 		return nil
 	}
 	if r.shape.Members == 1 || r.shape.Adjacency == resource.AdjacencyWorker {
@@ -104,11 +108,11 @@
 	return c.findAnywhere(r)
 }
 
-// mayFit reports whether n members may fit on one worker, judged by the aggregates of the rack. A false result is
-// certain.
+// mayFit reports whether n members may fit on one worker according to the aggregates of the rack. If it returns false,
+// the members certainly do not fit.
 func (r *rack) mayFit(need resource.Resources, n int) bool {
 	r.refresh()
-	return need.Times(n).Fits(r.limit)
+	return need.Times(n).Fits(r.maxFree)
 }
 
 // findOnWorker returns the best placement of all members on one worker.
@@ -117,7 +121,7 @@
 	var best *worker
 	var bestScore float64
 	for _, rk := range c.racks {
-		if rk.freed <= r.since || !rk.mayFit(r.shape.PerMember, members) {
+		if rk.lastFreedSeq <= r.since || !rk.mayFit(r.shape.PerMember, members) {
 			continue
 		}
 		for _, w := range rk.workers {
@@ -142,11 +146,11 @@
 	var bestScore float64
 	total := r.shape.Total().Accelerators
 	for _, rk := range c.racks {
-		if rk.freed <= r.since || !rk.mayFit(r.shape.PerMember, 1) || rk.total < total {
+		if rk.lastFreedSeq <= r.since || !rk.mayFit(r.shape.PerMember, 1) || rk.freeAccelerators < total {
 			continue
 		}
-		found := c.candidates(rk, r, c.scratch[:0])
-		c.scratch = found
+		found := c.candidates(rk, r, c.candidateBuffer[:0])
+		c.candidateBuffer = found
 		if !enough(found, r.shape.Members) {
 			continue
 		}
@@ -160,20 +164,20 @@
 
 // findAnywhere returns the best placement on any workers of the failure domain.
 func (c *Core) findAnywhere(r *placementRequest) []*worker {
-	found := c.scratch[:0]
+	found := c.candidateBuffer[:0]
 	for _, rk := range c.racks {
 		if rk.mayFit(r.shape.PerMember, 1) {
 			found = c.candidates(rk, r, found)
 		}
 	}
-	c.scratch = found
+	c.candidateBuffer = found
 	if !enough(found, r.shape.Members) {
 		return nil
 	}
 	return fill(found, r.shape.Members)
 }
 
-// candidates appends the workers of the rack that hold at least one member.
+// candidates appends the workers of the rack that hold at least one member to found.
 func (c *Core) candidates(rk *rack, r *placementRequest, found []candidate) []candidate {
 	for _, w := range rk.workers {
 		if !c.admits(w, r) {
@@ -195,7 +199,8 @@
 	return n <= 0
 }
 
-// fill places n members on the best candidates. It returns nil if they do not suffice.
+// fill places n members on the candidates with the lowest scores. It sorts found, and returns nil if the candidates do
+// not suffice.
 func fill(found []candidate, n int) []*worker {
 	slices.SortFunc(found, func(a, b candidate) int {
 		if d := cmp.Compare(a.score, b.score); d != 0 {
@@ -220,17 +225,19 @@
 	return c.fitsCapacities(s, func(w *worker) resource.Resources { return w.capacity })
 }
 
-// fitsUnfailedWorkers reports whether the workers on which the job did not fail could hold it if they were empty.
-func (c *Core) fitsUnfailedWorkers(j *job) bool {
+// fitsOtherWorkers reports whether the workers that the job need not avoid could hold it if they were empty and
+// healthy.
+func (c *Core) fitsOtherWorkers(j *job) bool {
 	return c.fitsCapacities(j.Shape, func(w *worker) resource.Resources {
-		if j.failedOn(w) {
+		if j.mustAvoid(w) {
 			return resource.Resources{}
 		}
 		return w.capacity
 	})
 }
 
-// fitsUnboundCapacity reports whether the shape fits the capacity of healthy workers that is not bound to guarantees.
+// fitsUnboundCapacity reports whether the shape would fit the capacity of healthy workers that is not bound to cells if
+// these workers were empty.
 func (c *Core) fitsUnboundCapacity(s resource.Shape) bool {
 	return c.fitsCapacities(s, func(w *worker) resource.Resources {
 		if !w.eligible() {
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -8,11 +8,11 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// maxFailedSearches limits the memory used by the record of failed searches.
+// maxFailedSearches limits the memory used by Core.failedSearches.
 const maxFailedSearches = 4096
 
-// recheckDelay is the time to the next plan if work was deferred, for example because a victim could not be stopped in
-// the plan that started it.
+// recheckDelay is the time until the next plan if this one left work undone, for example because a job to be stopped
+// was started in the same plan.
 const recheckDelay = 10 * time.Millisecond
 
 // Plan implements Planner.
@@ -23,7 +23,7 @@
 	c.reviewQuarantines()
 	c.reviewWorkers()
 	c.rebind()
-	c.startHeld()
+	c.advanceHolds()
 	c.startWaiting()
 	c.reserve()
 	c.consolidate()
@@ -35,13 +35,13 @@
 }
 
 // reviewWorkers drains leaving workers, releases members on workers that are gone, and stops work on overcommitted
-// ones.
+// workers.
 func (c *Core) reviewWorkers() {
 	for _, w := range c.workersToReview {
 		switch {
 		case w.health == HealthGone:
 			c.releaseLostMembers(w)
-		case w.leaving():
+		case w.mustDrain():
 			c.drainWorker(w)
 		default:
 			c.stopExcess(w)
@@ -53,7 +53,8 @@
 	c.workersToReview = c.workersToReview[:0]
 }
 
-// forgetWorker removes the record of a worker that left the configuration and whose tasks no longer run.
+// forgetWorker removes the record of a worker that is not in the configuration, once the worker is reported gone and
+// its tasks therefore no longer run.
 func (c *Core) forgetWorker(w *worker) {
 	if c.workers[w.id] != w || w.health != HealthGone {
 		return
@@ -61,7 +62,7 @@
 	delete(c.workers, w.id)
 }
 
-// drainWorker stops all stoppable work on a leaving worker. Unstoppable work runs to its end.
+// drainWorker stops all stoppable work on a worker that must be drained. Unstoppable work runs to its end.
 func (c *Core) drainWorker(w *worker) {
 	for _, o := range w.occupants {
 		if !o.job.unstoppable() {
@@ -70,15 +71,15 @@
 	}
 }
 
-// stopExcess stops the work with the least loss on a worker that runs more than its capacity, which happens when the
-// configuration reduces the capacity.
+// stopExcess stops stoppable jobs on an overcommitted worker, those with the least lost work first, until the rest
+// fits. Unstoppable jobs stay. A worker becomes overcommitted when the configuration reduces its capacity.
 func (c *Core) stopExcess(w *worker) {
 	if w.used.Fits(w.capacity) {
 		return
 	}
 	victims := slices.Clone(w.occupants)
 	slices.SortFunc(victims, func(a, b occupant) int {
-		return cmp.Or(cmp.Compare(c.loss(a.job), c.loss(b.job)), cmp.Compare(a.job.seq, b.job.seq))
+		return cmp.Or(cmp.Compare(c.loss(a.job), c.loss(b.job)), cmp.Compare(a.job.submission, b.job.submission))
 	})
 	left := w.used
 	for _, o := range victims {
@@ -92,7 +93,7 @@
 	}
 }
 
-// startWaiting starts the waiting jobs that can start: urgent jobs, then claims of guarantees, then the rest in queue
+// startWaiting starts the waiting jobs that can start: urgent jobs, then claims of cells, then all others in queue
 // order.
 func (c *Core) startWaiting() {
 	c.sortClasses()
@@ -114,18 +115,18 @@
 	}
 }
 
-// startClass starts the jobs of a class in order until one cannot start.
-func (c *Core) startClass(q *class, start func(*job) bool) {
+// startClass passes the jobs of a class to try in order, until one stays in the class or must not start yet.
+func (c *Core) startClass(q *class, try func(*job) bool) {
 	for q.head != nil {
 		j := q.head
-		if c.now.Before(j.notBefore) || !j.owner.known || !start(j) {
+		if c.now.Before(j.notBefore) || !j.owner.inConfig || !try(j) {
 			return
 		}
 	}
 }
 
-// tryStart starts a job, as a claim if its account has an unclaimed guarantee that the job matches. It reports whether
-// the job left its queue.
+// tryStart starts a job: as a claim if its account has an unclaimed cell whose guarantee the job matches, and otherwise
+// as ordinary work. It reports whether the job left its class, because it was started or its claim is in progress.
 func (c *Core) tryStart(j *job) bool {
 	if c.tryClaim(j) {
 		return true
@@ -142,13 +143,14 @@
 	if c.withinQuota(j) && c.startByDisplacing(j) {
 		return true
 	}
-	// Unstoppable work gets no borrowed capacity. If only bound capacity could ever hold it, it uses a larger guarantee
-	// of its own account.
+	// Unstoppable work must not borrow. If it would not fit the unbound capacity of healthy workers even if they were
+	// empty, it claims a cell of its account that may be larger than the job.
 	cl := c.unclaimedCell(j, true)
 	return cl != nil && !c.fitsUnboundCapacity(j.Shape) && c.claim(j, cl)
 }
 
-// tryClaim starts a job that matches an unclaimed guarantee of its account, or begins to reclaim capacity for it.
+// tryClaim starts a job in an unclaimed cell whose guarantee the job matches, or begins to reclaim capacity for it. It
+// reports whether the job left its class, because it was started or its claim is in progress.
 func (c *Core) tryClaim(j *job) bool {
 	cl := c.unclaimedCell(j, false)
 	return cl != nil && c.claim(j, cl)
@@ -175,15 +177,17 @@
 	return !j.unstoppable() || a.guaranteed == 0 || a.unstoppableUsed+j.Shape.Total().Accelerators <= a.quota-a.guaranteed
 }
 
-// placementRequest returns the search that places j as ordinary work.
-func (c *Core) placementRequest(j *job) *placementRequest {
+// ordinaryRequest returns the request for a placement of j as ordinary work.
+func (c *Core) ordinaryRequest(j *job) *placementRequest {
 	return &placementRequest{job: j, shape: j.Shape, unstoppable: j.unstoppable(), backfill: c.backfills(j)}
 }
 
-// search finds free capacity for j as ordinary work. After a failed search it looks only at racks in which capacity has
-// been freed since.
+// search returns free capacity for j as ordinary work, nil if there is none. A search that failed before is skipped
+// until capacity is freed; for one worker or rack it then covers only the racks with freed capacity. For a job with its
+// own class all racks are searched, and if it still finds nothing, the workers that rejected its start are allowed
+// again.
 func (c *Core) search(j *job) []*worker {
-	r := c.placementRequest(j)
+	r := c.ordinaryRequest(j)
 	if c.options.ignoreAdjacency {
 		r.shape.Adjacency = "none"
 	}
@@ -194,7 +198,7 @@
 		}
 		return placement
 	}
-	key := shapeKey{
+	key := searchKey{
 		shape: r.shape, unstoppable: r.unstoppable, backfill: r.backfill, trial: suitsTrial(j), runOnce: j.RunOnce,
 	}
 	r.since = c.failedSearches[key]
@@ -203,7 +207,7 @@
 		if len(c.failedSearches) >= maxFailedSearches {
 			clear(c.failedSearches)
 		}
-		c.failedSearches[key] = c.seq
+		c.failedSearches[key] = c.freedSeq
 	}
 	return placement
 }
@@ -217,15 +221,15 @@
 	j.startedAt, j.runningSince = c.now, time.Time{}
 	j.startedPlan = c.planCount
 	c.occupy(j, placement)
-	names := make(Placement, len(placement))
+	ids := make(Placement, len(placement))
 	for i, w := range placement {
-		names[i] = w.id
+		ids[i] = w.id
 		if w.standing.phase == phaseTrial {
 			w.standing.trial = j
 		}
 	}
 	c.plan.Starts = append(c.plan.Starts, Start{
-		Job: j.Job, Attempt: j.attempt, Placement: names, Borrowed: j.cell == nil && c.borrows(placement),
+		Job: j.Job, Attempt: j.attempt, Placement: ids, Borrowed: j.cell == nil && c.borrows(placement),
 	})
 }
 
@@ -242,41 +246,42 @@
 // nextCheck returns the next time at which a plan may change something without an event, zero if there is none.
 func (c *Core) nextCheck() time.Time {
 	var next time.Time
-	soonest := func(t time.Time) {
+	consider := func(t time.Time) {
 		if t.After(c.now) && (next.IsZero() || t.Before(next)) {
 			next = t
 		}
 	}
 	if c.recheck {
-		soonest(c.now.Add(recheckDelay))
+		consider(c.now.Add(recheckDelay))
 	}
 	for _, q := range c.active {
-		soonest(q.head.notBefore)
+		consider(q.head.notBefore)
 		if canStarve(q.head) && !c.options.noReservations {
-			soonest(c.reservationDue(q))
+			consider(c.reservationDue(q))
 		}
 	}
 	for _, j := range c.holds {
 		if !j.hold.claim {
-			soonest(j.hold.reviewAt)
+			consider(j.hold.reviewAt)
 		}
 	}
 	if c.suspended > 0 {
 		for _, w := range c.ordered {
-			c.quarantineDue(w, soonest)
+			c.considerQuarantineEnd(w, consider)
 		}
 	}
 	return next
 }
 
-// quarantineDue passes the end of the worker's quarantine or trial to soonest.
-func (c *Core) quarantineDue(w *worker, soonest func(time.Time)) {
+// considerQuarantineEnd calls consider with the time at which the quarantine of the worker or its trial ends, if that
+// time is known.
+func (c *Core) considerQuarantineEnd(w *worker, consider func(time.Time)) {
 	switch w.standing.phase {
 	case phaseQuarantined:
-		soonest(w.standing.until)
+		consider(w.standing.until)
 	case phaseTrial:
 		if t := w.standing.trial; t != nil && !t.runningSince.IsZero() {
-			soonest(t.runningSince.Add(trialTime))
+			consider(t.runningSince.Add(trialTime))
 		}
 	}
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -15,25 +15,27 @@
 	urgent        bool
 	runOnce       bool
 	canCheckpoint bool
-	// solo is the id of a job that failed or was refused and therefore has its own class, empty for other jobs.
+	// solo is the id of a job that failed, or that a worker rejected, and that therefore has its own class. It is empty
+	// for other jobs.
 	solo string
 }
 
-// shapeKey identifies searches that have the same result on the same capacity.
-type shapeKey struct {
+// searchKey identifies placement searches that give the same result as long as no capacity is freed.
+type searchKey struct {
 	shape       resource.Shape
 	unstoppable bool
 	backfill    bool
 	// trial marks jobs that may be placed on workers on trial.
 	trial bool
-	// runOnce marks jobs that avoid workers under suspicion.
+	// runOnce marks run-once jobs, which avoid workers with a recent unexplained failure (underSuspicion).
 	runOnce bool
-	// displacing marks searches for capacity whose bindings would be moved.
+	// displacing marks searches by startByDisplacing, which may use capacity that unclaimed cells are bound to if these
+	// cells can be bound to other workers.
 	displacing bool
 }
 
-// class is a FIFO queue of interchangeable waiting jobs. One failed search blocks the whole class, so a plan costs one
-// search per class instead of one per job.
+// class is the list of interchangeable waiting jobs, in order of submission. One failed search blocks the whole class,
+// so a plan costs one search per class instead of one per job.
 type class struct {
 	key        classKey
 	owner      *account
@@ -41,16 +43,17 @@
 	length     int
 	// activeIndex is the index in Core.active, -1 if the class is empty.
 	activeIndex int
-	// reservationRetryAt is the earliest time of the next search for a reservation.
+	// reservationRetryAt is the earliest time of the next search for a reservation, zero if none has failed.
 	reservationRetryAt time.Time
 }
 
-// enqueue adds j to the waiting jobs of its class, in order of submission.
+// enqueue adds j to the waiting jobs of its class, in order of submission. A job that waits again therefore precedes
+// later submissions.
 func (c *Core) enqueue(j *job) {
 	q := c.classOf(j)
 	j.class = q
 	after := q.tail
-	for after != nil && after.seq > j.seq {
+	for after != nil && after.submission > j.submission {
 		after = after.prev
 	}
 	c.linkAfter(q, after, j)
@@ -63,6 +66,7 @@
 	c.orderStale = true
 }
 
+// linkAfter inserts j into the list of the class behind after, or at the head if after is nil.
 func (c *Core) linkAfter(q *class, after, j *job) {
 	j.prev = after
 	if after == nil {
@@ -79,7 +83,7 @@
 	}
 }
 
-// dequeue removes j from its class at constant cost.
+// dequeue removes j from its class at constant cost. It has no effect if j is in no class.
 func (c *Core) dequeue(j *job) {
 	q := j.class
 	if q == nil {
@@ -122,7 +126,7 @@
 		account: j.Account, shape: j.Shape, urgent: j.Urgent,
 		runOnce: j.RunOnce, canCheckpoint: j.CanCheckpoint,
 	}
-	if len(j.failures) > 0 || !j.notBefore.IsZero() {
+	if len(j.avoided) > 0 || !j.notBefore.IsZero() {
 		key.solo = j.ID
 	}
 	q := c.classes[key]
@@ -133,7 +137,8 @@
 	return q
 }
 
-// sortClasses sorts the active classes: urgent ones first, then by the queue key of their first job.
+// sortClasses sorts the active classes: urgent ones first, then by the queue time of their first job, then by
+// submission.
 func (c *Core) sortClasses() {
 	if !c.orderStale {
 		return
@@ -146,10 +151,10 @@
 			}
 			return 1
 		}
-		if d := a.head.key.Compare(b.head.key); d != 0 {
+		if d := a.head.queueTime.Compare(b.head.queueTime); d != 0 {
 			return d
 		}
-		return cmp.Compare(a.head.seq, b.head.seq)
+		return cmp.Compare(a.head.submission, b.head.submission)
 	})
 	for i, q := range c.active {
 		q.activeIndex = i
--- a/scheduler/rank.go
+++ b/scheduler/rank.go
@@ -11,20 +11,22 @@
 	// rackPackingWeight prefers racks with little free capacity, so that whole racks stay free for large gangs. It is
 	// below 1 so that it never outweighs breaking up an empty worker.
 	rackPackingWeight = 0.5
-	// strandedWeight makes accelerators that are left without processors or memory cost more than any other leftover.
+	// strandedWeight makes accelerators that are left without processors or memory (stranded accelerators) cost more
+	// than any other capacity that becomes unusable.
 	strandedWeight = 2.0
-	// suspicionWeight ranks workers with unexplained failures behind others.
+	// suspicionWeight ranks workers with unexplained failures behind others; it is multiplied by the number of
+	// failures.
 	suspicionWeight = 1.0
 	// mixingWeight is the weight of keeping jobs that lose their progress when stopped apart from those that do not.
 	mixingWeight = 0.3
 	// maxOvertakeWaits limits, as a multiple of policy.max_wait_ms, how far the ranking may move a job ahead of its
-	// submission time. It bounds how long an endless stream of favoured jobs delays other jobs.
+	// submission time. It bounds how long a continuous sequence of jobs that the ranking prefers can delay other jobs.
 	maxOvertakeWaits = 12
 )
 
 // score returns the cost of placing n members of the request on w; lower is better. The fragmentation weight applies to
-// capacity that becomes unusable for large gangs, and the remaining weight to the risk that the members are stopped and
-// finish later.
+// capacity that becomes unusable for large gangs, and the remainder up to 1 to the risk that the members are stopped
+// and finish later.
 func (c *Core) score(w *worker, r *placementRequest, n int) float64 {
 	fragmentationWeight := c.fragmentationWeight()
 	need := r.shape.PerMember.Times(n)
@@ -47,10 +49,10 @@
 // mixingPenalty returns the cost of mixing j with the other jobs of a rack. It gathers jobs that lose their progress
 // when stopped in few racks, so that the other racks are cheap to empty for large gangs.
 func (c *Core) mixingPenalty(rk *rack, j *job) float64 {
-	if rk.accelerators == 0 {
+	if rk.totalAccelerators == 0 {
 		return 0
 	}
-	share := float64(rk.uncheckpointed) / float64(rk.accelerators)
+	share := float64(rk.uncheckpointed) / float64(rk.totalAccelerators)
 	if j.CanCheckpoint {
 		return share
 	}
@@ -77,12 +79,13 @@
 	}
 	w.rack.refresh()
 	if c.largestRack > 0 {
-		score += rackPackingWeight * float64(w.rack.total) / float64(c.largestRack)
+		score += rackPackingWeight * float64(w.rack.freeAccelerators) / float64(c.largestRack)
 	}
 	return score
 }
 
-// stranded returns how many free accelerators lack the processors or memory that the standard large shape needs.
+// stranded returns how many free accelerators lack the processors or memory that the standard large shape needs with
+// them.
 func (c *Core) stranded(free resource.Resources) int {
 	per := c.policy.StandardLargeShape.PerMember
 	if per.Accelerators == 0 || free.Accelerators <= 0 {
@@ -98,7 +101,7 @@
 	return free.Accelerators - usable
 }
 
-// freeShare returns the larger of the free shares of processors and memory.
+// freeShare returns the larger of the shares of processors and memory that are left of capacity.
 func freeShare(left, capacity resource.Resources) float64 {
 	share := 0.0
 	if capacity.MilliCPU > 0 {
@@ -132,8 +135,8 @@
 	return share
 }
 
-// rackScore returns the cost of placing a gang in a rack. It prefers a rack that the gang fills, so that others stay
-// empty.
+// rackScore returns the cost of placing a gang in a rack; lower is better. It prefers a rack that the gang fills, so
+// that others stay empty.
 func (c *Core) rackScore(rk *rack, r *placementRequest, found []candidate) float64 {
 	score := 0.0
 	left := r.shape.Members
@@ -143,25 +146,25 @@
 		left -= n
 	}
 	score /= float64(r.shape.Members)
-	if rk.accelerators > 0 {
-		spare := rk.total - r.shape.Total().Accelerators
+	if rk.totalAccelerators > 0 {
+		spare := rk.freeAccelerators - r.shape.Total().Accelerators
 		score += c.fragmentationWeight() * float64(spare) / float64(c.largestRack)
 	}
 	return score
 }
 
-// queueKey returns the time by which waiting jobs are ordered. Without fragmentation weight, jobs with short estimated
-// run times move ahead of their submission time; with it, large gangs do. Both are limited by maxOvertakeWaits, so
-// every job is overtaken for a bounded time only.
-func (c *Core) queueKey(j *job) time.Time {
+// computeQueueTime returns the time by which waiting jobs are ordered. At fragmentation weight 0, jobs with short
+// estimated run times move ahead of their submission time; at 1, large gangs do; values between combine both.
+// maxOvertakeWaits limits the move, so every job is overtaken for a bounded time only.
+func (c *Core) computeQueueTime(j *job) time.Time {
 	span := float64(c.maxWait()) * maxOvertakeWaits
 	fragmentationWeight := c.fragmentationWeight()
 	ahead := fragmentationWeight*c.relativeSize(j) + (1-fragmentationWeight)*c.shortness(j)
 	return j.submittedAt.Add(-time.Duration(span * ahead))
 }
 
-// shortness returns how little work j is estimated to need: 1 for none, down to 0 for the work of the standard large
-// shape over maxOvertakeWaits or without an estimate.
+// shortness returns how little work j is estimated to need: 1 for none, decreasing to 0 for the work that the standard
+// large shape does in maxOvertakeWaits. It is 0 without an estimate.
 func (c *Core) shortness(j *job) float64 {
 	run, ok := c.estimatedRunTime(j)
 	standard := float64(c.policy.StandardLargeShape.Total().Accelerators) * maxOvertakeWaits * c.maxWait().Seconds()
@@ -171,7 +174,8 @@
 	return 1 - min(1, c.acceleratorWeight(j)*run.Seconds()/standard)
 }
 
-// relativeSize returns the size of j relative to the standard large shape, at most 1.
+// relativeSize returns the size of j relative to the standard large shape, at most 1. It is 0 if the policy has no
+// standard large shape.
 func (c *Core) relativeSize(j *job) float64 {
 	standard := sizeOf(c.policy.StandardLargeShape)
 	if standard <= 0 {
--- a/scheduler/reclaim.go
+++ b/scheduler/reclaim.go
@@ -25,15 +25,16 @@
 
 // hold keeps capacity for a waiting job, either for a claim whose victims are being stopped or as a reservation.
 type hold struct {
+	// placement lists the worker of each member whose capacity is kept.
 	placement []*worker
 	// claim marks the hold of a claim; all others are reservations.
 	claim bool
 	// closed marks a reservation whose victims are being stopped and that no longer admits backfill.
 	closed bool
 	// createdAt is when the hold was made. An open reservation is reviewed at reviewAt. After deadline a review closes
-	// it unless it still waits for work that may not be stopped.
+	// it, unless its job must also wait for work that must not be stopped.
 	createdAt, reviewAt, deadline time.Time
-	// checkedSeq is the value of Core.seq at the last search for other free capacity.
+	// checkedSeq is the value of Core.freedSeq at the last search for other free capacity.
 	checkedSeq uint64
 }
 
@@ -45,6 +46,7 @@
 	return j.lossValue
 }
 
+// computeLoss computes the result of loss.
 func (c *Core) computeLoss(j *job) float64 {
 	lost := restartLoss
 	if !j.CanCheckpoint && !j.startedAt.IsZero() {
@@ -74,11 +76,12 @@
 	job  *job
 	// cell is the cell to be claimed, nil for a reservation or a consolidation.
 	cell *cell
-	// waitForUnstoppable allows capacity used by work that may not be stopped; the job then waits for that work to end.
+	// waitForUnstoppable also allows capacity used by work that must not be stopped; the job then waits for that work
+	// to end.
 	waitForUnstoppable bool
 	// moving restricts the victims to jobs that consolidation may move.
 	moving bool
-	// found and stoppable are buffers reused between calls.
+	// found and stoppable are reused between calls to avoid allocations.
 	found     []candidate
 	stoppable []*job
 }
@@ -86,7 +89,8 @@
 // unknownCost marks a candidate whose cost has not been computed yet.
 const unknownCost = -1
 
-// mayStop reports whether v may be stopped for the job.
+// mayStop reports whether v may be stopped for the job. A job that the current plan started must not be stopped by the
+// same plan; mayStop then requests another plan soon.
 func (p *preemption) mayStop(v *job) bool {
 	if v.unstoppable() && !p.core.options.stopUnstoppable || v.cell != nil || v.stopPlanned {
 		return false
@@ -109,7 +113,7 @@
 	if p.cell != nil {
 		return w.bindable(p.cell)
 	}
-	room := w.capacity.Sub(w.held).Sub(w.reserved)
+	room := w.capacity.Sub(w.heldForClaims).Sub(w.reserved)
 	if !p.job.unstoppable() {
 		return room
 	}
@@ -120,7 +124,8 @@
 	return minResources(room, guaranteed)
 }
 
-// available returns the resources of w that the job gets without further stops, including those of jobs being stopped.
+// available returns the resources of w that the job gets without further stops, including those of jobs that are being
+// stopped.
 func (p *preemption) available(w *worker) resource.Resources {
 	room := w.free()
 	if p.cell == nil {
@@ -134,28 +139,29 @@
 	return room
 }
 
-// nowAndReachable returns the resources of w that the job gets without further stops, and those that it gets if
-// everything that may be stopped is stopped.
-func (p *preemption) nowAndReachable(w *worker) (now, reachable resource.Resources) {
+// nowAndAfterStops returns the resources of w that the job gets without further stops, and those that it gets after all
+// jobs have stopped that may be stopped. With waitForUnstoppable, the latter include the resources of unstoppable work.
+func (p *preemption) nowAndAfterStops(w *worker) (now, afterStops resource.Resources) {
 	now = w.free()
 	if p.cell == nil {
 		now = now.Sub(w.reserved)
 	}
-	reachable = now
+	afterStops = now
 	for _, o := range w.occupants {
 		use := o.job.Shape.PerMember.Times(o.members)
 		switch {
 		case o.job.stopPlanned:
 			now = now.Add(use)
-			reachable = reachable.Add(use)
+			afterStops = afterStops.Add(use)
 		case p.waitForUnstoppable || p.mayStop(o.job):
-			reachable = reachable.Add(use)
+			afterStops = afterStops.Add(use)
 		}
 	}
-	return now, minResources(reachable, p.limit(w))
+	return now, minResources(afterStops, p.limit(w))
 }
 
-// cost returns the work lost by making room for n members on w.
+// cost returns the work lost by making room for n members on w, in accelerator-seconds. With waitForUnstoppable it
+// includes the cost of waiting for unstoppable work.
 func (p *preemption) cost(w *worker, n int) float64 {
 	need := p.job.Shape.PerMember.Times(n)
 	room := p.available(w)
@@ -170,9 +176,9 @@
 	return cost
 }
 
-// unstoppableWaitCost returns the cost of the work on w that may not be stopped: the job would wait for the end of that
-// work, which has no bound. Without this cost, a search with waitForUnstoppable would prefer workers full of such work,
-// since no stops lose anything there.
+// unstoppableWaitCost returns the cost of the work on w that must not be stopped: the job would wait for the end of
+// that work, which has no bound. Without this cost, a search with waitForUnstoppable would prefer workers full of such
+// work, since no stops lose anything there.
 func (p *preemption) unstoppableWaitCost(w *worker) float64 {
 	accelerators := 0
 	for _, o := range w.occupants {
@@ -198,7 +204,7 @@
 	}
 	p.stoppable = found
 	slices.SortFunc(found, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(p.core.loss(a), p.core.loss(b)), cmp.Compare(a.seq, b.seq))
+		return cmp.Or(cmp.Compare(p.core.loss(a), p.core.loss(b)), cmp.Compare(a.submission, b.submission))
 	})
 	victims := found[:0]
 	for _, v := range found {
@@ -221,7 +227,8 @@
 		gain.MemoryMB > 0 && need.MemoryMB > room.MemoryMB
 }
 
-// findPlacement returns the placement with the least loss, and that loss. The placement is nil if there is none.
+// findPlacement returns the placement with the least loss, and that loss in accelerator-seconds. The placement is nil
+// if there is none.
 func (p *preemption) findPlacement() ([]*worker, float64) {
 	s := p.job.Shape
 	var best []*worker
@@ -239,7 +246,7 @@
 		}
 	case s.Adjacency == resource.AdjacencyRack:
 		for _, rk := range p.core.racks {
-			if rk.accelerators >= s.Total().Accelerators {
+			if rk.totalAccelerators >= s.Total().Accelerators {
 				try(rk.workers, false)
 			}
 		}
@@ -249,16 +256,17 @@
 	return best, bestCost
 }
 
-// placeWithin places the job on the given workers, using those with the least loss per member first.
+// placeWithin places the job on the given workers, using those with the least loss per member first, and returns the
+// placement and its loss. The placement is nil if the job does not fit.
 func (p *preemption) placeWithin(workers []*worker, singleWorker bool) ([]*worker, float64) {
 	s := p.job.Shape
 	found := p.found[:0]
 	for _, w := range workers {
-		if !w.eligible() || p.job.failedOn(w) {
+		if !w.eligible() || p.job.mustAvoid(w) {
 			continue
 		}
-		now, reachable := p.nowAndReachable(w)
-		n := min(fitCount(s.PerMember, reachable), s.Members)
+		now, afterStops := p.nowAndAfterStops(w)
+		n := min(fitCount(s.PerMember, afterStops), s.Members)
 		if n == 0 || singleWorker && n < s.Members {
 			continue
 		}
@@ -283,7 +291,7 @@
 	return placement, total
 }
 
-// stopVictims stops the jobs that keep the job from running on the placement.
+// stopVictims plans the stops that make room for the job on the placement.
 func (p *preemption) stopVictims(placement []*worker, reason StopReason) {
 	forEachWorker(placement, func(w *worker, n int) {
 		for _, v := range p.victimsOn(w, p.job.Shape.PerMember.Times(n)) {
@@ -295,7 +303,7 @@
 	})
 }
 
-// stop plans the stop of a placed job.
+// stop plans the stop of a placed job. It has no effect if the stop is already planned.
 func (c *Core) stop(j *job, reason StopReason) {
 	if j.stopPlanned {
 		return
@@ -305,7 +313,7 @@
 	j.reason = "stopping: " + string(reason)
 	c.plan.Stops = append(c.plan.Stops, Stop{
 		Job: j.ID, Attempt: j.attempt, Reason: reason,
-		Checkpoint: j.CanCheckpoint && !j.cancelled, CheckpointBound: c.checkpointBound(),
+		Checkpoint: j.CanCheckpoint && !j.cancelRequested, CheckpointBound: c.checkpointBound(),
 	})
 }
 
@@ -342,8 +350,9 @@
 	return true
 }
 
-// findFreePlacement returns a free placement for the claim that keeps all bindings disjoint. The caller binds the cell
-// to it. If only another unclaimed cell of the same shape has free capacity, the two cells swap their bindings.
+// findFreePlacement returns a free placement for the claim that keeps all bindings disjoint, nil if there is none;
+// claim then binds the cell to it. If only another unclaimed cell of the same shape has free capacity, the two cells
+// swap their bindings.
 func (c *Core) findFreePlacement(j *job, cl *cell) []*worker {
 	if !cl.matches(j.Shape) {
 		if workers := cl.workers[:j.Shape.Members]; fitsFree(workers, j.Shape.PerMember) {
@@ -356,7 +365,7 @@
 	}
 	for _, other := range c.cells {
 		if other.claim == nil && other != cl && other.workers != nil && other.shape == cl.shape &&
-			fitsFree(other.workers, cl.shape.PerMember) && !failedOnAny(j, other.workers) {
+			fitsFree(other.workers, cl.shape.PerMember) && !mustAvoidAny(j, other.workers) {
 			c.swapBindings(cl, other)
 			return cl.workers
 		}
@@ -364,8 +373,8 @@
 	return nil
 }
 
-func failedOnAny(j *job, placement []*worker) bool {
-	return slices.ContainsFunc(placement, j.failedOn)
+func mustAvoidAny(j *job, placement []*worker) bool {
+	return slices.ContainsFunc(placement, j.mustAvoid)
 }
 
 // fitsFree reports whether the placement fits the free capacity of its workers.
@@ -386,8 +395,8 @@
 	c.bind(b, workersA)
 }
 
-// moveBinding binds an unclaimed cell to the placement of its claim. A placement of fewer members than the cell leaves
-// the binding as it is.
+// moveBinding binds an unclaimed cell to the placement of its claim. If the placement has fewer members than the cell,
+// the binding stays as it is.
 func (c *Core) moveBinding(cl *cell, workers []*worker) {
 	if len(workers) < len(cl.workers) || slices.Equal(cl.workers, workers) {
 		return
@@ -402,7 +411,7 @@
 	return a.quota == 0 || a.used+a.claiming+j.Shape.Total().Accelerators <= a.quota
 }
 
-// quotaReclaimable reports whether the quota allows the claim once ordinary work of the account is stopped.
+// quotaReclaimable reports whether the claim is within the quota after ordinary work of the account has been stopped.
 func (c *Core) quotaReclaimable(j *job) bool {
 	_, ok := c.quotaVictims(j)
 	return ok
@@ -435,7 +444,7 @@
 		}
 	}
 	slices.SortFunc(victims, func(x, y *job) int {
-		return cmp.Or(cmp.Compare(c.loss(x), c.loss(y)), cmp.Compare(x.seq, y.seq))
+		return cmp.Or(cmp.Compare(c.loss(x), c.loss(y)), cmp.Compare(x.submission, y.submission))
 	})
 	n := 0
 	for ; n < len(victims) && over > 0; n++ {
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -16,32 +16,34 @@
 	// maxReservationStops is how often one job may be stopped for reservations; after that it runs to its end.
 	maxReservationStops = 4
 	// allowedLossShare is the work that stops for a gang may lose, as a share of the gang's accelerators times its
-	// wait. The allowance grows while the gang waits, so victims whose stop is expensive get time to end by themselves.
+	// wait. This allowance grows while the gang waits, so victims whose stop is expensive get time to end by
+	// themselves.
 	allowedLossShare = 0.5
 	// reviewIntervalWaits is the time between two reviews of the cost of an open reservation.
 	reviewIntervalWaits = 0.5
-	// closeWaits is the age at which a reservation is closed and its victims are stopped, however much work is lost.
+	// closeWaits is the age at which a reservation is closed and its victims are stopped, regardless of how much work
+	// is lost.
 	closeWaits = 4
-	// forceCloseWaits is the age at which a reservation is closed even if it contains work that may not be stopped.
-	// Until then backfill uses the capacity; without this limit, backfill that may not be stopped could follow on
-	// itself for ever.
+	// forceCloseWaits is the age at which a reservation is closed even if it contains work that must not be stopped.
+	// Until then backfill uses the capacity. Without this limit, unstoppable backfill jobs could follow one another
+	// forever and keep the capacity occupied.
 	forceCloseWaits = 8
 	// singleMemberWaits is the wait after which a job of one member with several accelerators gets a reservation. The
-	// queue order serves such a job well, since it needs only one worker. At 12, in an overloaded run, most
-	// single-member jobs started through reservations, and jobs of one accelerator, which get none, waited longest.
+	// queue order serves such a job well, since it needs only one worker. With 12, most single-member jobs would start
+	// through reservations under overload, at the expense of jobs of one accelerator, which get none.
 	singleMemberWaits = 48
-	// overdueWaits is the wait after which gangs get reservations in the order of their waits, and overduePriority a
-	// weight above that of any gang.
+	// overdueWaits is the wait after which gangs get reservations in the order of their waits. overduePriority is the
+	// factor of their priority per second, above that of any gang.
 	overdueWaits    = 8
 	overduePriority = 1e6
-	// reserveUnstoppableWaits is the wait after which a gang may reserve capacity used by work that may not be stopped,
-	// the end of which has no bound.
+	// reserveUnstoppableWaits is the wait after which a gang may reserve capacity used by work that must not be
+	// stopped, whose end has no bound.
 	reserveUnstoppableWaits = 2
 	// reservationRetryWaits is the time after which the search for a reservation is repeated if it found no placement.
 	reservationRetryWaits = 0.25
 )
 
-// setHold removes a waiting job from its queue and keeps capacity for it.
+// setHold removes a waiting job from its class and keeps capacity for it.
 func (c *Core) setHold(j *job, h *hold) {
 	c.dequeue(j)
 	j.hold = h
@@ -49,7 +51,7 @@
 	c.countHold(j, 1)
 }
 
-// removeHold releases the capacity of a hold. The caller must enqueue, start or end the job.
+// removeHold releases the capacity of the hold of j. It does not return j to its class, start it or end it.
 func (c *Core) removeHold(j *job) {
 	c.countHold(j, -1)
 	for _, w := range j.hold.placement {
@@ -71,36 +73,36 @@
 	forEachWorker(h.placement, func(w *worker, n int) {
 		need := j.Shape.PerMember.Times(sign * n)
 		switch {
-		case h.claim && c.options.ignoreHeld:
+		case h.claim && c.options.ignoreClaimHolds:
 		case h.claim:
-			w.held = w.held.Add(need)
+			w.heldForClaims = w.heldForClaims.Add(need)
 		default:
 			w.reserved = w.reserved.Add(need)
 			if h.closed {
-				w.closed = w.closed.Add(need)
+				w.closedReserved = w.closedReserved.Add(need)
 			}
 		}
 		c.markChanged(w, false)
 	})
 }
 
-// startHeld processes all holds, claims first: it starts the jobs whose capacity is free, and repairs or abandons holds
-// that lost capacity.
-func (c *Core) startHeld() {
+// advanceHolds processes all holds, claims first: it starts the jobs whose capacity is free, and repairs or abandons
+// holds that lost capacity.
+func (c *Core) advanceHolds() {
 	if len(c.holds) == 0 {
 		return
 	}
-	held := slices.Clone(c.holds)
-	slices.SortStableFunc(held, func(a, b *job) int {
+	holders := slices.Clone(c.holds)
+	slices.SortStableFunc(holders, func(a, b *job) int {
 		if a.hold.claim != b.hold.claim {
 			if a.hold.claim {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(a.submittedAt.Compare(b.submittedAt), cmp.Compare(a.seq, b.seq))
+		return cmp.Or(a.submittedAt.Compare(b.submittedAt), cmp.Compare(a.submission, b.submission))
 	})
-	for _, j := range held {
+	for _, j := range holders {
 		if j.hold == nil {
 			continue
 		}
@@ -112,14 +114,14 @@
 // capacity or reviews its reservation. It abandons the hold if its workers became unusable or its reservation expired.
 func (c *Core) advanceHold(j *job) {
 	h := j.hold
-	if !usableBy(j, h.placement) || c.reservationExpired(h) {
+	if !mayRunOn(j, h.placement) || c.reservationExpired(h) {
 		c.abandonHold(j)
 		return
 	}
 	c.countHold(j, -1)
 	ready := c.ready(j)
 	c.countHold(j, 1)
-	if ready && c.quotaAllowsHeld(j) {
+	if ready && c.quotaAllowsStart(j) {
 		placement := h.placement
 		c.removeHold(j)
 		c.start(j, placement)
@@ -142,29 +144,29 @@
 	}
 }
 
-// reservationExpired reports whether a closed reservation has waited so long that another placement may be better.
+// reservationExpired reports whether a reservation is closed and so old that another placement may be better.
 func (c *Core) reservationExpired(h *hold) bool {
 	return !h.claim && h.closed && c.now.Sub(h.createdAt) > c.maxWaits(2*forceCloseWaits)
 }
 
-// abandonHold releases the hold and the claim of a job and returns it to its queue.
+// abandonHold releases the hold and the claim of a job and returns it to its class.
 func (c *Core) abandonHold(j *job) {
 	c.removeHold(j)
 	c.releaseCell(j)
 	c.enqueue(j)
 }
 
-// usableBy reports whether all workers of the placement may still get the job.
-func usableBy(j *job, placement []*worker) bool {
+// mayRunOn reports whether all workers of the placement are healthy and need not be avoided by the job.
+func mayRunOn(j *job, placement []*worker) bool {
 	for _, w := range placement {
-		if !w.eligible() || j.failedOn(w) {
+		if !w.eligible() || j.mustAvoid(w) {
 			return false
 		}
 	}
 	return true
 }
 
-// ready reports whether the held placement is free. The hold itself must not be counted during the call.
+// ready reports whether the placement of the hold is free. The hold itself must not be counted during the call.
 func (c *Core) ready(j *job) bool {
 	h := j.hold
 	ok := true
@@ -181,8 +183,8 @@
 	return ok
 }
 
-// quotaAllowsHeld reports whether the account stays within its quota if the held job starts.
-func (c *Core) quotaAllowsHeld(j *job) bool {
+// quotaAllowsStart reports whether the account stays within its quota if the job, which has a hold, starts.
+func (c *Core) quotaAllowsStart(j *job) bool {
 	a := j.owner
 	need := j.Shape.Total().Accelerators
 	if a.quota == 0 || need == 0 || c.options.noQuota {
@@ -191,7 +193,7 @@
 	return a.used+need <= a.quota && (j.cell != nil || c.unstoppableWithinQuota(j))
 }
 
-// stopFurtherVictims plans additional stops if those in progress no longer make enough room.
+// stopFurtherVictims plans additional stops if those in progress no longer free enough capacity.
 func (c *Core) stopFurtherVictims(j *job) {
 	h := j.hold
 	p := &preemption{core: c, job: j, cell: j.cell}
@@ -207,18 +209,19 @@
 
 // findElsewhere returns free capacity for a job with a reservation, nil if there is none.
 func (c *Core) findElsewhere(j *job) []*worker {
-	if !c.capacityFreedSince(j.hold) || !c.quotaAllowsHeld(j) {
+	if !c.capacityFreedSince(j.hold) || !c.quotaAllowsStart(j) {
 		return nil
 	}
 	c.countHold(j, -1)
-	placement := c.findPlacement(c.placementRequest(j))
+	placement := c.findPlacement(c.ordinaryRequest(j))
 	c.countHold(j, 1)
-	j.hold.checkedSeq = c.seq
+	j.hold.checkedSeq = c.freedSeq
 	return placement
 }
 
-// capacityFreedSince reports whether capacity was freed since the last search for the held job.
-func (c *Core) capacityFreedSince(h *hold) bool { return c.seq > h.checkedSeq }
+// capacityFreedSince reports whether capacity was freed since the last search for other free capacity for the job of
+// the hold.
+func (c *Core) capacityFreedSince(h *hold) bool { return c.freedSeq > h.checkedSeq }
 
 // closeReservation closes a reservation to backfill and stops the jobs on the reserved capacity.
 func (c *Core) closeReservation(j *job) {
@@ -244,7 +247,7 @@
 	}
 }
 
-// mayReserve reports whether another reservation is within the limits.
+// mayReserve reports whether maxReservations and reservedShare permit another reservation.
 func (c *Core) mayReserve() bool {
 	n, accelerators, all := 0, 0, 0
 	for _, j := range c.holds {
@@ -254,18 +257,19 @@
 		}
 	}
 	for _, rk := range c.racks {
-		all += rk.accelerators
+		all += rk.totalAccelerators
 	}
 	return n == 0 || n < maxReservations && float64(accelerators) < reservedShare*float64(all)
 }
 
-// canStarve reports whether smaller jobs can starve the job.
+// canStarve reports whether smaller jobs can starve j: it has several members or several accelerators per member.
 func canStarve(j *job) bool {
 	return j.Shape.Members > 1 || j.Shape.PerMember.Accelerators > 1
 }
 
 // mostBlocked returns the job with the highest reservation priority among those that have waited long enough for a
-// reservation, nil if there is none. The priority grows with the wait, so a small gang eventually precedes larger ones.
+// reservation and lack only capacity, nil if there is none. The priority grows with the wait, so a small gang
+// eventually precedes larger ones.
 func (c *Core) mostBlocked() *job {
 	var first *job
 	var highest float64
@@ -281,8 +285,8 @@
 	return first
 }
 
-// reservationPriority returns the accelerators of a blocked gang times its wait. A gang that waited longer than
-// overdueWaits precedes all others, so that larger gangs cannot delay it for ever.
+// reservationPriority returns the accelerators of a blocked gang times its wait in seconds. A gang that has waited for
+// overdueWaits precedes all others, so that larger gangs cannot delay it forever.
 func (c *Core) reservationPriority(j *job) float64 {
 	waited := c.now.Sub(j.waitingSince)
 	priority := c.acceleratorWeight(j) * waited.Seconds()
@@ -292,9 +296,9 @@
 	return priority
 }
 
-// longestWaiting returns the job of a class that has waited longest since its submission or its last stop. Jobs that
-// were stopped are first in the queue although their wait began anew; of the jobs that never ran, the first has waited
-// longest.
+// longestWaiting returns the job of a class that has waited longest since its submission or the end of its last
+// attempt. Jobs that were stopped are first in the queue although their wait started again at the stop; of the jobs
+// that never ran, the first has waited longest.
 func (q *class) longestWaiting() *job {
 	oldest := q.head
 	for j := q.head; j != nil; j = j.next {
@@ -308,7 +312,8 @@
 	return oldest
 }
 
-// reservationDue returns the earliest time at which a job of the class may get a reservation.
+// reservationDue returns the earliest time at which a job of the class may get a reservation. It is not before the next
+// search after a failed one.
 func (c *Core) reservationDue(q *class) time.Time {
 	j := q.longestWaiting()
 	due := j.waitingSince.Add(c.maxWait())
@@ -334,8 +339,9 @@
 	c.closeOrScheduleReview(j, cost, stopsOnly)
 }
 
-// findByStopping returns the placement for a reservation with the least loss. If stopsOnly is true, stops alone free
-// the placement; otherwise it also has to wait for work that may not be stopped.
+// findByStopping returns the placement for a reservation with the least loss, nil if there is none, and that loss in
+// accelerator-seconds. If stopsOnly is true, stops alone free the placement; otherwise the job also has to wait for
+// work that must not be stopped.
 func (c *Core) findByStopping(j *job) (placement []*worker, cost float64, stopsOnly bool) {
 	p := &preemption{core: c, job: j}
 	placement, cost = p.findPlacement()
@@ -347,8 +353,9 @@
 	return placement, cost, false
 }
 
-// closeOrScheduleReview closes a reservation if its cost is within the allowance or its deadline has passed, and
-// otherwise schedules its next review.
+// closeOrScheduleReview closes a reservation or schedules its next review. It is closed at the age of forceCloseWaits,
+// and before that if stops alone free its capacity and either the cost is within the allowance or its deadline has
+// passed.
 func (c *Core) closeOrScheduleReview(j *job, cost float64, stopsOnly bool) {
 	h := j.hold
 	allowance := allowedLossShare * c.acceleratorWeight(j) * c.now.Sub(j.waitingSince).Seconds()
@@ -388,8 +395,8 @@
 // maxWaits returns n times policy.max_wait_ms.
 func (c *Core) maxWaits(n float64) time.Duration { return time.Duration(n * float64(c.maxWait())) }
 
-// untilClose returns the time until the first open reservation may close, computed once per plan; ok is false if none
-// is open.
+// untilClose returns the time until the next review of an open reservation, which may close it, computed once per plan;
+// ok is false if none is open.
 func (c *Core) untilClose() (d time.Duration, ok bool) {
 	if c.untilClosePlan == c.planCount {
 		return c.untilCloseValue, c.untilCloseFound
@@ -412,8 +419,9 @@
 	return d, ok
 }
 
-// backfills reports whether j may use reserved capacity: it must be stoppable, and either lose no progress when stopped
-// or be estimated to end before the next review of a reservation. If the estimate is wrong, the loss is limited by the
+// backfills reports whether j may use reserved capacity. There must be an open reservation, and j must be stoppable and
+// not have been stopped maxReservationStops times for reservations. It must either lose no progress when stopped or be
+// estimated to end before the next review of a reservation. If the estimate is wrong, the loss is limited by the
 // allowance of the reservation, and after that by its deadline.
 func (c *Core) backfills(j *job) bool {
 	if j.unstoppable() || j.reservationStops >= maxReservationStops {
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -186,7 +186,7 @@
 	f.wantState("once", jobs.StateWaiting)
 	f.wantState("trial", jobs.StateRunning)
 	f.endAttempt("trial", Result{Kind: ResultCompleted})
-	if w.standing.phase != phaseTrusted {
+	if w.standing.phase != phaseNormal {
 		t.Errorf("phase %d after a successful trial", w.standing.phase)
 	}
 }
@@ -199,7 +199,7 @@
 
 // TestWhyNamesObstacle guards against an explanation that names the wrong obstacle.
 func TestWhyNamesObstacle(t *testing.T) {
-	eight, rack := shape(1, 8, resource.AdjacencyNone), shape(4, 8, resource.AdjacencyRack)
+	wholeWorker, rackGang := shape(1, 8, resource.AdjacencyNone), shape(4, 8, resource.AdjacencyRack)
 	cases := map[string]struct {
 		change  func(*config.Document)
 		before  func(*fixture)
@@ -208,18 +208,18 @@
 		want    string
 	}{
 		"quota": {func(d *config.Document) { d.Accounts["a"] = config.Account{Name: "a", Quota: 8} },
-			func(f *fixture) { f.submit("x", "a", eight) }, eight, nil, "quota: account a uses 8 of 8"},
+			func(f *fixture) { f.submit("x", "a", wholeWorker) }, wholeWorker, nil, "quota: account a uses 8 of 8"},
 		"adjacency": {nil, func(f *fixture) { f.adoptRunning("x", "w-00", 8); f.adoptRunning("y", "w-04", 8) },
-			rack, nil, "adjacency"},
-		"capacity":   {nil, func(f *fixture) { f.submit("x", "b", shape(8, 8, resource.AdjacencyNone)) }, eight, nil, "capacity: 0 of 1"},
-		"guarantees": {withGuarantee("b", 8, eight), func(*fixture) {}, eight, []jobOption{runOnce}, "bound to guarantees"},
-		"reclaim": {withGuarantee("a", 1, eight), func(f *fixture) { f.submit("x", "b", shape(8, 8, resource.AdjacencyNone)) },
-			eight, nil, "reclaim of its guarantee in progress"},
-		"degraded": {withGuarantee("a", 1, rack), func(f *fixture) {
+			rackGang, nil, "adjacency"},
+		"capacity":   {nil, func(f *fixture) { f.submit("x", "b", shape(8, 8, resource.AdjacencyNone)) }, wholeWorker, nil, "capacity: 0 of 1"},
+		"guarantees": {withGuarantee("b", 8, wholeWorker), func(*fixture) {}, wholeWorker, []jobOption{runOnce}, "bound to guarantees"},
+		"reclaim": {withGuarantee("a", 1, wholeWorker), func(f *fixture) { f.submit("x", "b", shape(8, 8, resource.AdjacencyNone)) },
+			wholeWorker, nil, "reclaim of its guarantee in progress"},
+		"degraded": {withGuarantee("a", 1, rackGang), func(f *fixture) {
 			for _, id := range []string{"w-00", "w-04"} {
 				f.core.SetWorkerHealth(id, HealthUnreachable, f.now)
 			}
-		}, rack, nil, "degraded guarantee"},
+		}, rackGang, nil, "degraded guarantee"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -280,11 +280,11 @@
 	f.planAndStart()
 	f.advance(reserveUnstoppableWaits * time.Minute)
 	f.planAndStart()
-	held := f.core.jobs["gang"].hold
-	if held == nil || held.claim {
+	reservation := f.core.jobs["gang"].hold
+	if reservation == nil || reservation.claim {
 		t.Fatalf("no reservation: %s", f.core.Why("gang", f.now))
 	}
-	for _, w := range held.placement {
+	for _, w := range reservation.placement {
 		if w.id < "w-04" {
 			t.Fatalf("reserved worker %s in the rack with four workers of unstoppable work, not in the rack with one", w.id)
 		}
--- a/scheduler/runtimes.go
+++ b/scheduler/runtimes.go
@@ -14,15 +14,17 @@
 	runSamples = 64
 	// minRunSamples is the number of run times required for an estimate.
 	minRunSamples = 5
-	// runQuantilePercent is the share of jobs that end within the estimated run time.
+	// runQuantilePercent is the percentage of jobs that end within the estimated run time.
 	runQuantilePercent = 80
 )
 
 // runTimes holds the latest run times of one account and size class. Declared run times are not used, because they are
 // wrong by a factor of up to ten in either direction.
 type runTimes struct {
-	samples  []time.Duration
-	next     int
+	samples []time.Duration
+	// next is the index of the oldest sample once runSamples are kept.
+	next int
+	// quantile is the estimated run time, 0 while there are too few samples.
 	quantile time.Duration
 }
 
@@ -50,7 +52,8 @@
 	return -bits.Len(uint(s.Members))
 }
 
-// recordRunTime records the run time of a completed attempt of j.
+// recordRunTime records the run time of the completed attempt of j. It has no effect if the start of the members was
+// never reported.
 func (c *Core) recordRunTime(j *job, now time.Time) {
 	if j.runningSince.IsZero() {
 		return
@@ -63,8 +66,8 @@
 	a.runs[k].add(now.Sub(j.runningSince))
 }
 
-// estimatedRunTime returns the run time within which most jobs like j end; ok is false while too few of them have
-// ended.
+// estimatedRunTime returns the run time within which most jobs of the account and size class of j end; ok is false
+// while too few of them have ended.
 func (c *Core) estimatedRunTime(j *job) (d time.Duration, ok bool) {
 	r := j.owner.runs[sizeClass(j.Shape)]
 	if r == nil || len(r.samples) < minRunSamples {
--- a/scheduler/scenario_test.go
+++ b/scheduler/scenario_test.go
@@ -56,8 +56,8 @@
 	s.driver = newDriver(core)
 	s.checker = newChecker(core, s.driver)
 	s.checker.faultFree = s.faultFree
-	s.checker.faultyWorker = func(id string) bool { return s.faultyWorker[id] }
-	s.driver.failsOn = s.failsOn
+	s.checker.isFaultyWorker = func(id string) bool { return s.faultyWorker[id] }
+	s.driver.failsOn = s.failingWorker
 	s.doc = scenarioDocument(r, 0)
 	for id := range s.doc.Workers {
 		s.workerIDs = append(s.workerIDs, id)
@@ -65,7 +65,7 @@
 	slices.Sort(s.workerIDs)
 	s.configure()
 	for _, id := range s.workerIDs {
-		s.health(id, HealthUp)
+		s.reportHealth(id, HealthUp)
 	}
 	for at := time.Duration(0); at < scenarioSpan; at += time.Duration(1+r.IntN(16000)) * time.Millisecond {
 		s.after(at, s.randomEvent)
@@ -105,7 +105,7 @@
 	s.checker.setConfig(s.doc)
 }
 
-func (s *scenario) health(id string, h Health) {
+func (s *scenario) reportHealth(id string, h Health) {
 	s.timeCall(func() { s.core.SetWorkerHealth(id, h, s.now) })
 	s.checker.setHealth(id, h)
 }
@@ -125,7 +125,7 @@
 	case x < 98:
 		s.reconfigure()
 	default:
-		s.refuseStart()
+		s.rejectStart()
 	}
 }
 
@@ -138,8 +138,8 @@
 	}
 }
 
-// failsOn returns the worker on which an attempt of j fails, if any.
-func (s *scenario) failsOn(j *simJob) (string, bool) {
+// failingWorker returns the worker on which an attempt of j fails, if any.
+func (s *scenario) failingWorker(j *simJob) (string, bool) {
 	for _, id := range j.placement {
 		if j.faulty || s.faultyWorker[id] {
 			return id, true
@@ -210,7 +210,7 @@
 	if j == nil || j.ended {
 		return
 	}
-	j.cancelled = true
+	j.cancelRequested = true
 	if j.placement == nil {
 		j.ended = true
 		delete(s.live, id)
@@ -241,20 +241,20 @@
 	if s.checker.health[id] != HealthUp {
 		return
 	}
-	back := time.Duration(20+s.random.IntN(200)) * time.Second
+	restoreDelay := time.Duration(20+s.random.IntN(200)) * time.Second
 	switch s.random.IntN(3) {
 	case 0:
 		s.silent[id] = true
-		s.health(id, HealthUnreachable)
-		s.after(back, func() { s.silent[id] = false; s.health(id, HealthUp) })
+		s.reportHealth(id, HealthUnreachable)
+		s.after(restoreDelay, func() { s.silent[id] = false; s.reportHealth(id, HealthUp) })
 	case 1:
-		s.health(id, HealthLeaving)
-		s.after(back, func() { s.health(id, HealthUp) })
+		s.reportHealth(id, HealthLeaving)
+		s.after(restoreDelay, func() { s.reportHealth(id, HealthUp) })
 	default:
 		s.silent[id] = true
-		s.health(id, HealthUnreachable)
+		s.reportHealth(id, HealthUnreachable)
 		s.after(30*time.Second, func() { s.loseWorker(id) })
-		s.after(30*time.Second+back, func() { s.silent[id] = false; s.health(id, HealthUp) })
+		s.after(30*time.Second+restoreDelay, func() { s.silent[id] = false; s.reportHealth(id, HealthUp) })
 	}
 }
 
@@ -272,7 +272,7 @@
 			s.recordEnd(j, lost)
 		}
 	}
-	s.health(id, HealthGone)
+	s.reportHealth(id, HealthGone)
 }
 
 // placedJobs returns the jobs with an attempt in progress, sorted by id.
@@ -298,10 +298,10 @@
 	s.configure()
 }
 
-// refuseStart ends the first attempt that is still starting, as refused by its first worker.
-func (s *scenario) refuseStart() {
+// rejectStart ends the first attempt that is still starting, as refused by its first worker.
+func (s *scenario) rejectStart() {
 	for _, j := range s.placedJobs() {
-		if j.ran.IsZero() && !j.stopping && s.responsive(j, j.attempt) {
+		if j.runningSince.IsZero() && !j.stopping && s.responsive(j, j.attempt) {
 			s.endAttempt(j, Result{Kind: ResultNotStarted, Workers: j.placement[:1]})
 			return
 		}
@@ -323,13 +323,13 @@
 // its violation.
 func TestMechanismsMatter(t *testing.T) {
 	cases := map[string]struct {
-		without options
-		want    string
+		disabled options
+		want     string
 	}{
 		"lending":       {options{lendToUnstoppable: true}, "P1"},
 		"rebinding":     {options{noRebinding: true}, "P1"},
 		"reclaim":       {options{noReclaim: true}, "claim"},
-		"holding":       {options{ignoreHeld: true}, "claim"},
+		"holding":       {options{ignoreClaimHolds: true}, "claim"},
 		"reservations":  {options{noReservations: true}, "waits"},
 		"quota":         {options{noQuota: true}, "quota"},
 		"run once":      {options{restartRunOnce: true}, "run once"},
@@ -344,7 +344,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(12) {
-				for _, v := range runScenario(t, seed, c.without) {
+				for _, v := range runScenario(t, seed, c.disabled) {
 					if strings.Contains(v, c.want) {
 						return
 					}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -20,47 +20,54 @@
 	rack     *rack
 	capacity resource.Resources
 	health   Health
-	// drained marks a worker that the configuration drains.
-	drained bool
-	// removed marks a worker that is not in the configuration but may still run tasks.
+	// drainRequested reports whether the configuration asks to drain the worker.
+	drainRequested bool
+	// removed reports whether the worker is missing in the configuration of this failure domain. It may still run
+	// tasks.
 	removed bool
-	// used sums the members placed here in any state.
+	// used is the sum of the resources of all members placed here, whatever the state of their jobs.
 	used resource.Resources
-	// unstoppable sums the members of unstoppable jobs that claim no cell.
+	// unstoppable is the part of used by unstoppable jobs that claim no cell.
 	unstoppable resource.Resources
-	// bound sums the cell members bound here, claimed or not.
+	// bound is the sum of the resources of all cell members bound here, claimed or not.
 	bound resource.Resources
 	// unclaimed is the part of bound that no job claims.
 	unclaimed resource.Resources
-	// held sums the resources of claims whose victims are being stopped; no other job may start there.
-	held resource.Resources
-	// reserved sums the resources of reservations; only backfill may start there.
+	// heldForClaims is the sum of the resources of claims whose victims are being stopped; no other job may start
+	// there.
+	heldForClaims resource.Resources
+	// reserved is the sum of the resources of reservations; only backfill may start there.
 	reserved resource.Resources
-	// closed is the part of reserved whose victims are being stopped; not even backfill may start there.
-	closed    resource.Resources
+	// closedReserved is the part of reserved that belongs to closed reservations, whose victims are being stopped; not
+	// even backfill may start there.
+	closedReserved resource.Resources
+	// occupants lists the jobs with members placed here. cells lists the cells bound here, once for each of their
+	// members on this worker.
 	occupants []occupant
 	cells     []*cell
-	standing  standing
+	// standing records the failures on the worker and its quarantine or trial.
+	standing standing
 }
 
-// eligible reports whether work may be placed on the worker.
+// eligible reports whether the worker is healthy, so that any work may be placed there. A worker on trial is not
+// eligible; it accepts only a trial job (acceptsTrial).
 func (w *worker) eligible() bool {
-	return w.healthy() && w.standing.phase == phaseTrusted
+	return w.usable() && w.standing.phase == phaseNormal
 }
 
-// healthy reports whether the worker is reachable and not leaving.
-func (w *worker) healthy() bool {
-	return w.health == HealthUp && !w.drained && !w.removed
+// usable reports whether the worker is up and neither drained nor removed. It may be suspended.
+func (w *worker) usable() bool {
+	return w.health == HealthUp && !w.drainRequested && !w.removed
 }
 
-// leaving reports whether the worker must be drained.
-func (w *worker) leaving() bool {
-	return w.health == HealthLeaving || w.drained || w.removed
+// mustDrain reports whether the worker leaves, is removed, or is to be drained according to the configuration.
+func (w *worker) mustDrain() bool {
+	return w.health == HealthLeaving || w.drainRequested || w.removed
 }
 
 // free returns the capacity that no member uses and no claim in progress holds; its components may be negative.
 func (w *worker) free() resource.Resources {
-	return w.capacity.Sub(w.used).Sub(w.held)
+	return w.capacity.Sub(w.used).Sub(w.heldForClaims)
 }
 
 // addOccupant adds n members of j.
@@ -74,7 +81,7 @@
 	w.occupants = append(w.occupants, occupant{j, n})
 }
 
-// members returns how many members of j run on the worker.
+// members returns how many members of j are placed on the worker.
 func (w *worker) members(j *job) int {
 	for i := range w.occupants {
 		if w.occupants[i].job == j {
@@ -105,76 +112,85 @@
 	name    string
 	index   int
 	workers []*worker
-	// freed is the sequence number of the last change after which a blocked job may fit here.
-	freed uint64
-	// stale marks limit and total as out of date.
+	// lastFreedSeq is the value of Core.freedSeq at the last change that freed capacity here.
+	lastFreedSeq uint64
+	// stale marks maxFree and freeAccelerators as out of date.
 	stale bool
-	// limit is the componentwise maximum of the free resources of any worker that may get work.
-	limit resource.Resources
-	// total sums the free accelerators of workers that may get work; accelerators sums all accelerators of the rack.
-	total, accelerators int
-	// uncheckpointed sums the accelerators of placed jobs that lose their progress when stopped.
+	// maxFree is the componentwise maximum of the free resources of usable workers that are not in quarantine.
+	maxFree resource.Resources
+	// freeAccelerators is the number of free accelerators on usable workers that are not in quarantine;
+	// totalAccelerators is the number of all accelerators of the rack.
+	freeAccelerators, totalAccelerators int
+	// uncheckpointed is the number of accelerators used by placed jobs that lose their progress when stopped.
 	uncheckpointed int
 }
 
-// refresh recomputes the aggregates if a worker changed.
+// refresh recomputes maxFree and freeAccelerators if a worker of the rack changed.
 func (r *rack) refresh() {
 	if !r.stale {
 		return
 	}
 	r.stale = false
-	r.limit = resource.Resources{}
-	r.total = 0
+	r.maxFree = resource.Resources{}
+	r.freeAccelerators = 0
 	for _, w := range r.workers {
-		if !w.healthy() || w.standing.phase == phaseQuarantined {
+		if !w.usable() || w.standing.phase == phaseQuarantined {
 			continue
 		}
 		f := w.free()
-		r.limit.Accelerators = max(r.limit.Accelerators, f.Accelerators)
-		r.limit.MilliCPU = max(r.limit.MilliCPU, f.MilliCPU)
-		r.limit.MemoryMB = max(r.limit.MemoryMB, f.MemoryMB)
-		r.total += max(0, f.Accelerators)
+		r.maxFree.Accelerators = max(r.maxFree.Accelerators, f.Accelerators)
+		r.maxFree.MilliCPU = max(r.maxFree.MilliCPU, f.MilliCPU)
+		r.maxFree.MemoryMB = max(r.maxFree.MemoryMB, f.MemoryMB)
+		r.freeAccelerators += max(0, f.Accelerators)
 	}
 }
 
 // job is the core's record of one job.
 type job struct {
 	jobs.Job
-	owner   *account
-	seq     uint64
-	state   jobs.State
-	attempt uint64
-	reason  string
-	class   *class
-	// submittedAt is when the job was submitted to the core. key orders the waiting jobs; the earliest goes first.
-	submittedAt, key time.Time
-	prev, next       *job
+	owner *account
+	// submission is the number of the job in the order of submission, from 1.
+	submission uint64
+	state      jobs.State
+	attempt    uint64
+	reason     string
+	class      *class
+	// submittedAt is when the job was submitted to the core or adopted. queueTime orders the waiting jobs; the earliest
+	// goes first.
+	submittedAt, queueTime time.Time
+	prev, next             *job
 	// placement lists the worker of each member while the job is placed.
 	placement []*worker
 	// cell is the guarantee's cell that the job claims, nil if it runs as ordinary work.
 	cell *cell
-	// hold is the capacity kept for the waiting job, nil if there is none.
+	// hold is the capacity kept for the waiting job, nil if there is none. A job with a hold is in no class.
 	hold *hold
-	// startedAt is when the current attempt was started, and runningSince when all its members ran.
+	// startedAt is when the current attempt was started, and runningSince when all its members ran; zero before that.
 	startedAt, runningSince time.Time
-	waitingSince            time.Time
+	// waitingSince is when the job last began to wait: its submission or the end of its last attempt.
+	waitingSince time.Time
 	// startedPlan is the number of the plan that started the current attempt. The same plan must not stop it, since the
 	// caller carries out stops before starts.
 	startedPlan uint64
-	cancelled   bool
+	// cancelRequested reports whether Cancel was called for the job; the stop of a placed job may still be in progress.
+	cancelRequested bool
+	// stopPlanned reports whether the stop of the current attempt was planned.
 	stopPlanned bool
 	// placedIndex is the index in account.placed.
 	placedIndex int
 	// reservationStops counts stops for reservations, which are limited by maxReservationStops.
 	reservationStops int
-	// lossValue is the loss caused by a stop, as computed in the plan numbered lossPlan.
+	// lossValue is the work lost by a stop, in accelerator-seconds, as computed in the plan numbered lossPlan.
 	lossValue float64
 	lossPlan  uint64
-	// movedAt is the time at which consolidation last moved the job.
-	movedAt      time.Time
-	failures     []failure
-	failureCount int
-	// notBefore is the earliest time of the next attempt after a failure or a refusal.
+	// movedAt is when consolidation last moved the job, zero if it never did.
+	movedAt time.Time
+	// avoided lists the workers on which the job failed or that rejected its start. A worker leaves the list when it is
+	// quarantined; one that rejected the start leaves it also when no other worker has capacity.
+	avoided []avoidedWorker
+	// failedAttempts counts the failed attempts. It is never reset.
+	failedAttempts int
+	// notBefore is the earliest time of the next attempt after a failure or a rejected start, zero if there was none.
 	notBefore time.Time
 }
 
@@ -189,12 +205,12 @@
 	return n * j.Shape.PerMember.Accelerators
 }
 
-// placed reports whether the job uses resources.
+// placed reports whether the job has an attempt in progress and therefore uses resources.
 func (j *job) placed() bool { return len(j.placement) > 0 }
 
-// failedOn reports whether an attempt of the job failed because of w.
-func (j *job) failedOn(w *worker) bool {
-	for _, f := range j.failures {
+// mustAvoid reports whether w is recorded as a worker on which the job failed or that rejected its start.
+func (j *job) mustAvoid(w *worker) bool {
+	for _, f := range j.avoided {
 		if f.worker == w {
 			return true
 		}
@@ -209,7 +225,8 @@
 	return s.Members*s.PerMember.Accelerators*resource.MaxMembers + s.Members
 }
 
-// forEachWorker calls f once for each distinct worker of a placement, with the number of its members there.
+// forEachWorker calls f once for each distinct worker of a placement, with the number of its members there. Nil entries
+// are skipped.
 func forEachWorker(placement []*worker, f func(w *worker, members int)) {
 	for i, w := range placement {
 		if w == nil || seenBefore(placement, i) {
@@ -236,27 +253,33 @@
 
 // account is the core's record of one client account.
 type account struct {
-	name  string
+	name string
+	// quota is the largest number of accelerators that the account may use; 0 means no limit.
 	quota int
-	known bool
-	// guaranteed sums the accelerators of all guarantees in this failure domain.
+	// inConfig reports whether the account is in the configuration. Its jobs do not start while it is not.
+	inConfig bool
+	// guaranteed is the number of accelerators of all guarantees in this failure domain.
 	guaranteed int
-	// used sums the accelerators of placed jobs; unstoppableUsed sums those of unstoppable jobs without a cell.
+	// used is the number of accelerators of placed jobs; unstoppableUsed is the part of unstoppable jobs without a
+	// cell.
 	used, unstoppableUsed int
-	// holding sums the accelerators that jobs with a hold will use; claiming is the part of claims.
+	// holding is the number of accelerators that jobs with a hold will use; claiming is the part of holding that
+	// belongs to claims whose victims are being stopped.
 	holding, claiming int
 	cells             []*cell
 	// placed lists the jobs that use resources, in an arbitrary but reproducible order.
 	placed []*job
-	runs   map[int]*runTimes
+	// runs holds the run times by size class (sizeClass).
+	runs map[int]*runTimes
 }
 
-// markChanged records that the capacity of w changed; freed says that more work may fit now.
+// markChanged records that the free capacity or the usability of w changed; freed reports whether more work may fit
+// now.
 func (c *Core) markChanged(w *worker, freed bool) {
 	w.rack.stale = true
 	if freed {
-		c.seq++
-		w.rack.freed = c.seq
+		c.freedSeq++
+		w.rack.lastFreedSeq = c.freedSeq
 	}
 }
 
@@ -282,10 +305,10 @@
 	}
 }
 
-// release releases all resources that j uses, and its cell.
+// release releases all resources that j uses, and its claim. The cell stays bound.
 func (c *Core) release(j *job) {
 	placement := j.placement
-	forEachWorker(placement, func(w *worker, _ int) { c.releaseWorker(j, w) })
+	forEachWorker(placement, func(w *worker, _ int) { c.releaseMembersOn(j, w) })
 	j.placement = nil
 	a := j.owner
 	last := len(a.placed) - 1
@@ -299,8 +322,8 @@
 	c.releaseCell(j)
 }
 
-// releaseWorker releases the resources that j uses on one worker.
-func (c *Core) releaseWorker(j *job, w *worker) {
+// releaseMembersOn releases the resources that the members of j use on w.
+func (c *Core) releaseMembersOn(j *job, w *worker) {
 	n := w.removeOccupant(j)
 	if n == 0 {
 		return
--- a/scheduler/why.go
+++ b/scheduler/why.go
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("job %s waits: %s", id, c.cause(j))
 }
 
-// whyNotWaiting describes a job that is placed or has ended.
+// whyNotWaiting returns the state of a job that is placed or has ended.
 func (c *Core) whyNotWaiting(j *job) string {
 	text := fmt.Sprintf("job %s is %s", j.ID, j.state)
 	if j.reason != "" {
@@ -30,18 +30,18 @@
 	return text
 }
 
-// cause returns the first obstacle that keeps a waiting job from starting.
+// cause returns the first obstacle found that keeps a waiting job from starting.
 func (c *Core) cause(j *job) string {
 	a := j.owner
 	switch {
-	case !a.known:
+	case !a.inConfig:
 		return fmt.Sprintf("account %s is not in the configuration", j.Account)
 	case j.hold != nil && j.hold.claim:
 		return c.reclaimCause(j)
 	case j.hold != nil:
 		return c.reservationCause(j)
 	case c.now.Before(j.notBefore):
-		return fmt.Sprintf("retry in %s after %d failures", j.notBefore.Sub(c.now).Round(time.Second), j.failureCount)
+		return fmt.Sprintf("retry in %s after %d failures", j.notBefore.Sub(c.now).Round(time.Second), j.failedAttempts)
 	case !c.fitsEmptyWorkers(j.Shape):
 		return "no configured workers can hold " + shapeText(j.Shape)
 	case !c.withinQuota(j):
@@ -70,13 +70,13 @@
 // reservationCause describes the job's own reservation.
 func (c *Core) reservationCause(j *job) string {
 	if j.hold.closed {
-		return fmt.Sprintf("its reservation of %s, made %s ago, is being emptied", shapeText(j.Shape), c.ago(j.hold.createdAt))
+		return fmt.Sprintf("the jobs on its reservation of %s, made %s ago, are being stopped", shapeText(j.Shape), c.ago(j.hold.createdAt))
 	}
-	return fmt.Sprintf("its reservation of %s will be emptied within %s",
+	return fmt.Sprintf("the jobs on its reservation of %s will be stopped within %s",
 		shapeText(j.Shape), j.hold.deadline.Sub(c.now).Round(time.Second))
 }
 
-// degradedCause describes a degraded guarantee of the job's shape. It is empty if there is none.
+// degradedCause describes a degraded guarantee that the job matches. It is empty if there is none.
 func (c *Core) degradedCause(j *job) string {
 	for _, cl := range j.owner.cells {
 		if cl.workers == nil && cl.matches(j.Shape) {
@@ -87,16 +87,16 @@
 	return ""
 }
 
-// capacityCause distinguishes lack of adjacency, reservations, guarantees and plain lack of capacity.
+// capacityCause says whether adjacency, reservations, guarantees or plain lack of capacity keeps a job from starting.
 func (c *Core) capacityCause(j *job) string {
 	fits := func(change func(*placementRequest)) bool {
-		r := c.placementRequest(j)
+		r := c.ordinaryRequest(j)
 		change(r)
 		return c.findPlacement(r) != nil
 	}
 	switch {
 	case fits(func(*placementRequest) {}):
-		return "the next plan"
+		return "for the next plan, which can start it"
 	case !j.unstoppable() && fits(func(r *placementRequest) { r.backfill = true }), c.fitsWithoutReservations(j):
 		return c.blockingReservation()
 	case j.unstoppable() && fits(func(r *placementRequest) { r.unstoppable = false }):
@@ -109,7 +109,7 @@
 
 // fitsWithoutReservations reports whether the job would fit if there were no reservations.
 func (c *Core) fitsWithoutReservations(j *job) bool {
-	r := c.placementRequest(j)
+	r := c.ordinaryRequest(j)
 	for _, h := range c.holds {
 		if !h.hold.claim {
 			c.countHold(h, -1)
@@ -124,7 +124,7 @@
 	return fits
 }
 
-// blockingReservation names the job with the oldest reservation.
+// blockingReservation names the job with the oldest reservation, or returns "capacity" if there is no reservation.
 func (c *Core) blockingReservation() string {
 	var first *job
 	for _, h := range c.holds {
@@ -138,7 +138,8 @@
 	return fmt.Sprintf("free capacity is reserved for job %s", first.ID)
 }
 
-// missingCapacity compares the number of members that fit on all free workers with the number that the job needs.
+// missingCapacity compares the number of members that fit on all healthy workers now with the number that the job
+// needs.
 func (c *Core) missingCapacity(j *job) string {
 	fits := 0
 	for _, w := range c.ordered {
