--- a/scheduler/baseline_test.go
+++ b/scheduler/baseline_test.go
@@ -12,18 +12,20 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// baseline is a simple scheduler that the core is compared with. It has two variants. Both place gangs whole and
-// adjacent on the first workers that fit, in submission order, and stop nothing. First-fit starts every waiting job
-// that fits. Quota counting admits jobs against the accounts' quotas and the total of accelerators, whatever their
-// shapes; an admitted job stays counted while it waits for a placement, and a job that is not admitted blocks the later
-// jobs of its account.
+// baseline is a simple scheduler that the core is compared with. It has two variants. Both place all members of a gang
+// at once, adjacent and on the first workers that fit, in submission order, and stop nothing. First-fit starts every
+// waiting job that fits. Quota counting admits jobs against the accounts' quotas and the total of accelerators,
+// whatever their shapes; an admitted job stays counted while it waits for a placement, and a job that is not admitted
+// blocks the later jobs of its account.
 type baseline struct {
 	Planner
 	quotaCounting bool
 	workers       []resource.Worker
 	free          []resource.Resources
 	quota         map[string]int
-	total         int
+	// total is the number of accelerators of all workers.
+	total int
+	// admitted holds the accelerators of admitted jobs by account; admittedTotal is their sum.
 	admitted      map[string]int
 	admittedTotal int
 	waiting       []*baselineJob
@@ -96,7 +98,9 @@
 	return p
 }
 
-// admit counts the job against the quota and, with quota counting, also against the total.
+// admit reports whether the job may be placed, and counts it against the quota of its account. With quota counting it
+// also counts it against the total, and adds the account to heldBack if the job is not admitted. Without quota counting
+// it admits only a job that fits now.
 func (b *baseline) admit(j *baselineJob, heldBack map[string]bool) bool {
 	if j.admitted {
 		return true
@@ -118,6 +122,7 @@
 	return true
 }
 
+// place takes the resources of the job on the first workers that fit, and reports whether there are any.
 func (b *baseline) place(j *baselineJob) bool {
 	if !b.find(j) {
 		return false
@@ -128,7 +133,7 @@
 	return true
 }
 
-// find places the job on the first workers that fit and reports whether there are any.
+// find sets the placement of the job to the first workers that fit, and reports whether there are any.
 func (b *baseline) find(j *baselineJob) bool {
 	j.placement = j.placement[:0]
 	for i := range b.workers {
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -28,7 +28,9 @@
 	// unusable and free are in accelerator-seconds; busy and useful are shares of the capacity, summed over the seeds.
 	unusable, free, busy, useful float64
 	// scattered is like unusable, but counts only the standard large shape as a use and ignores waiting gangs.
-	scattered                      float64
+	scattered float64
+	// claims is the number of claims, violations that of claims that did not start within the reclaim bound, and
+	// unfinished that of jobs that did not end.
 	violations, claims, unfinished int
 	// decision is the time of the planner's calls from one plan to the next, in nanoseconds.
 	decision *hdrhistogram.Histogram
@@ -38,7 +40,8 @@
 	// lostTime is in accelerator-seconds.
 	lostTime   float64
 	ownRunTime *hdrhistogram.Histogram
-	seeds      float64
+	// seeds is the number of seeds that were measured.
+	seeds float64
 }
 
 func newBenchResult(name string) *benchResult {
@@ -46,9 +49,11 @@
 	return &benchResult{name: name, all: h(), large: h(), decision: h(), ownRunTime: h(), stops: map[StopReason]int{}}
 }
 
+// fragmentation returns the share of the free accelerator-seconds that were unusable.
 func (f *benchResult) fragmentation() float64 { return f.unusable / max(f.free, 1) }
 
-// meter integrates the use of the workers over the time in which jobs arrive.
+// meter integrates the use of the workers over the time in which jobs arrive, which ends at until. total is the number
+// of accelerators of all workers.
 type meter struct {
 	d       *driver
 	p       *profile
@@ -263,7 +268,7 @@
 	t.Cleanup(func() {
 		restore()
 		if v := log.Violations(); len(v) > 0 {
-			t.Errorf("%d violations, first: %s", len(v), v[0])
+			t.Errorf("%d invariant violations, first: %s", len(v), v[0])
 		}
 	})
 }
@@ -277,7 +282,8 @@
 	}
 }
 
-// TestBench compares the core with the baselines on the same arrivals and asserts the targets of docs/design.md.
+// TestBench guards against a core that is worse than required in comparison with the baselines: it measures all on the
+// same arrivals and asserts the targets of docs/design.md.
 func TestBench(t *testing.T) {
 	failOnViolations(t)
 	for _, p := range benchProfiles() {
@@ -328,7 +334,7 @@
 		t.Errorf("missed: fragmentation %.3f, target %.3f", core.fragmentation(), limit)
 	}
 	if core.violations > 0 || core.unfinished > 0 {
-		t.Errorf("missed: %d guarantee violations, %d jobs without an end", core.violations, core.unfinished)
+		t.Errorf("missed: %d claims started late and %d jobs did not end, want none", core.violations, core.unfinished)
 	}
 	if limit := max(firstFit.useful, quotaCounting.useful); core.useful < limit {
 		t.Errorf("missed: utilisation %.4f, target %.4f", core.useful/core.seeds, limit/core.seeds)
@@ -338,6 +344,7 @@
 	}
 }
 
+// printResults prints a table with one line for each result, and the stops and losses.
 func printResults(title string, all ...*benchResult) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%s\tp50 s\tp95 s\tp99 s\tlargest p95 s\tfragm.\tfragm. std\tutilis.\tbusy\tviolations/claims\t"+
--- a/scheduler/check_test.go
+++ b/scheduler/check_test.go
@@ -9,13 +9,14 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// Bounds of the checks. They are derived from the scheduling rules, not from measurements.
+// Bounds of the checks. They follow from the scheduling rules.
 const (
 	// gangWaitBound is twice the sum, in max_wait_ms, of the wait for a reservation (1), the longest time that it stays
 	// open (4) and the longest run of unstoppable work on it (5). It is doubled because a gang may first have to wait
 	// for earlier reservations.
 	gangWaitBound = 20 * scenarioMaxWait
-	// failedAttemptLimit is the number of failed attempts after which the core must have failed a job permanently.
+	// failedAttemptLimit is the number of failed attempts after which the core must have failed a job permanently
+	// (maxFailedAttempts).
 	failedAttemptLimit = 8
 	// quarantineBound is the longest time from the first failure on a faulty worker to its quarantine: a failed job
 	// waits up to maxRetryDelay, finds a placement elsewhere when others end (maxRunTime), and runs there for
@@ -29,19 +30,25 @@
 	d      *driver
 	doc    *config.Document
 	health map[string]Health
-	// blockedSince holds the time since which a gang has waited although unbound capacity and its quota would allow it.
+	// blockedSince holds, by job id, the time since which a gang has waited although unbound capacity and its quota
+	// would allow it.
 	blockedSince map[string]time.Time
-	// longestBlocked is the gang that has been blocked longest, and longestBlockedSince when it became that.
+	// longestBlocked is the gang that has been blocked longest, nil if none is, and longestBlockedSince when it became
+	// that.
 	longestBlocked      *simJob
 	longestBlockedSince time.Time
-	failureCounts       map[string]int
-	// failingSince holds the time since which a faulty worker has failed jobs without being quarantined.
-	failingSince     map[string]time.Time
+	// failureCounts holds the number of failed attempts by job id.
+	failureCounts map[string]int
+	// failingSince holds, by worker id, the time since which a faulty worker has failed jobs without being quarantined.
+	failingSince map[string]time.Time
+	// faultyBurstUntil is the end of the time in which no healthy worker may be quarantined, since faulty jobs run.
 	faultyBurstUntil time.Time
 	isFaultyWorker   func(string) bool
-	faultFree        bool
-	trace            []string
-	violations       []string
+	// faultFree enables the checks of bounds on waits.
+	faultFree bool
+	// trace holds the latest events, at most 30.
+	trace      []string
+	violations []string
 }
 
 func newChecker(core *Core, d *driver) *checker {
@@ -79,6 +86,7 @@
 	k.traceEvent("worker %s %s", id, h)
 }
 
+// usable reports whether the worker is up and not drained.
 func (k *checker) usable(id string) bool {
 	_, drained := k.doc.Drains[id]
 	return k.health[id] == HealthUp && !drained
@@ -94,7 +102,7 @@
 		k.addViolation("gang %s of %d started with %d members", j.ID, j.Shape.Members, len(s.Placement))
 	}
 	if j.RunOnce && !j.mayRunAgain {
-		k.addViolation("run once job %s started again", j.ID)
+		k.addViolation("run once job %s started again although it may have run", j.ID)
 	}
 	after := map[string]resource.Resources{}
 	for _, id := range s.Placement {
@@ -104,7 +112,7 @@
 		first := s.Placement[0]
 		if j.Shape.Adjacency == resource.AdjacencyWorker && id != first ||
 			j.Shape.Adjacency == resource.AdjacencyRack && k.doc.Workers[id].Rack != k.doc.Workers[first].Rack {
-			k.addViolation("adjacency of %s is broken by %v", j.ID, s.Placement)
+			k.addViolation("adjacency of job %s is not satisfied by workers %v", j.ID, s.Placement)
 		}
 		after[id] = after[id].Add(j.Shape.PerMember)
 	}
@@ -116,6 +124,7 @@
 	k.checkQuota(j)
 }
 
+// acceleratorsUsed returns the number of accelerators that the placed jobs of the account use.
 func (k *checker) acceleratorsUsed(account string) int {
 	n := 0
 	for _, j := range k.d.live {
@@ -126,14 +135,16 @@
 	return n
 }
 
+// checkQuota checks that the start of j leaves its account within the quota.
 func (k *checker) checkQuota(j *simJob) {
 	quota := k.doc.Accounts[j.Account].Quota
 	n := j.Shape.Total().Accelerators
 	if used := k.acceleratorsUsed(j.Account); quota > 0 && n > 0 && used+n > quota {
-		k.addViolation("quota of %s: %d of %d accelerators used, %d started", j.Account, used, quota, n)
+		k.addViolation("quota of account %s: %d of %d accelerators in use, %d more started", j.Account, used, quota, n)
 	}
 }
 
+// checkStop checks that unstoppable work is stopped only on cancellation or after losing a member.
 func (k *checker) checkStop(j *simJob, s Stop) {
 	k.traceEvent("stop %s: %s", j.ID, s.Reason)
 	if !j.Stoppable() && s.Reason != StopCancelled && s.Reason != StopLost {
@@ -141,6 +152,8 @@
 	}
 }
 
+// observeEnd counts failed attempts, and checks that a faulty worker is quarantined within quarantineBound as far as
+// policy.quarantine_percent permits.
 func (k *checker) observeEnd(j *simJob, r Result) {
 	k.traceEvent("end %s %s %v", j.ID, r.Kind, r.Workers)
 	if r.Kind != ResultFailed {
@@ -162,7 +175,7 @@
 	}
 }
 
-// checkPlan checks the state after every plan.
+// checkPlan checks the state of the core after every plan.
 func (k *checker) checkPlan(p Plan) {
 	for _, s := range p.Condemned {
 		if !k.d.jobs[s.Job].faulty {
@@ -176,6 +189,8 @@
 	}
 }
 
+// checkFailures checks that jobs are failed permanently after failedAttemptLimit attempts, that no healthy worker is
+// quarantined because of faulty jobs, and that policy.quarantine_percent is kept.
 func (k *checker) checkFailures() {
 	for id, n := range k.failureCounts {
 		if n == failedAttemptLimit+1 {
@@ -188,11 +203,11 @@
 			delete(k.failingSince, w.id)
 		}
 		if w.standing.phase != phaseNormal && !k.isFaultyWorker(w.id) && k.d.now.Before(k.faultyBurstUntil) {
-			k.addViolation("healthy worker %s mistaken for a faulty one", w.id)
+			k.addViolation("healthy worker %s was mistaken for a faulty one and quarantined", w.id)
 		}
 	}
 	if out := k.suspended(); out*100 > k.doc.Policy.QuarantinePercent*len(k.doc.Workers) {
-		k.addViolation("quarantine bound: %d of %d workers suspended", out, len(k.doc.Workers))
+		k.addViolation("quarantine bound: %d of %d workers are in quarantine or on trial", out, len(k.doc.Workers))
 	}
 }
 
@@ -207,7 +222,7 @@
 	return n
 }
 
-// checkBindings checks that every cell is bound or listed as degraded, and that the bindings are adjacent, on healthy
+// checkBindings checks that every cell is bound or listed as degraded, and that the bindings are adjacent, on usable
 // workers, and disjoint from each other and from unstoppable work.
 func (k *checker) checkBindings() {
 	committed := map[string]resource.Resources{}
@@ -251,6 +266,7 @@
 	}
 }
 
+// checkCell checks the binding and claim of one bound cell, and adds its resources to committed, by worker id.
 func (k *checker) checkCell(cl *cell, committed map[string]resource.Resources) {
 	if len(cl.workers) != cl.shape.Members {
 		k.addViolation("P1 bindings: cell of %s has %d of %d members", cl.account.name, len(cl.workers), cl.shape.Members)
--- a/scheduler/core_test.go
+++ b/scheduler/core_test.go
@@ -17,7 +17,7 @@
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fixture drives a core step by step.
+// fixture drives a core step by step, in virtual time.
 type fixture struct {
 	t    *testing.T
 	core *Core
@@ -25,7 +25,8 @@
 	now  time.Time
 }
 
-// newFixture returns a core with n healthy workers of 8 accelerators, 4 to a rack, and accounts a and b.
+// newFixture returns a core with n healthy workers of 8 accelerators, 4 to a rack, and accounts a and b. change, if not
+// nil, modifies the configuration before use. The test fails at its end if an invariant was violated.
 func newFixture(t *testing.T, n int, change func(*config.Document)) *fixture {
 	t.Helper()
 	doc := &config.Document{
@@ -118,6 +119,12 @@
 	f.core.Ended(id, s.Attempt, r, f.now)
 }
 
+// adoptRunning adopts a running job on one worker.
+func (f *fixture) adoptRunning(id, worker string, accelerators int) {
+	j := jobs.Job{ID: id, Account: "b", Shape: shape(1, accelerators, resource.AdjacencyNone), CanCheckpoint: true}
+	f.core.Adopt(j, 1, Placement{worker}, jobs.StateRunning, f.now)
+}
+
 // wantState asserts the state of a job.
 func (f *fixture) wantState(id string, want jobs.State) {
 	f.t.Helper()
@@ -135,7 +142,7 @@
 	return strings.Join(ids, " ")
 }
 
-// TestSubmitRejectsImpossibleJobs guards against accepting jobs that can never run and would wait for ever.
+// TestSubmitRejectsImpossibleJobs guards against accepting jobs that can never run and would wait forever.
 func TestSubmitRejectsImpossibleJobs(t *testing.T) {
 	cases := map[string]struct {
 		account string
@@ -162,7 +169,8 @@
 	}
 }
 
-// TestReclaim guards against a guarantee whose capacity is borrowed and not given back.
+// TestReclaim guards against a guarantee whose capacity is borrowed and not given back, against lending it to
+// unstoppable work, and against stopping borrowers without a checkpoint.
 func TestReclaim(t *testing.T) {
 	f := newFixture(t, 4, withGuarantee("a", 1, shape(4, 8, resource.AdjacencyRack)))
 	for i := range 4 {
@@ -176,7 +184,7 @@
 	f.submit("claim", "a", shape(4, 8, resource.AdjacencyRack))
 	p := f.planAndStart()
 	if len(p.Stops) != 4 || !p.Stops[0].Checkpoint || p.Stops[0].Reason != StopReclaim {
-		t.Fatalf("want 4 stops with checkpoint, got %+v", p.Stops)
+		t.Fatalf("want 4 stops with checkpoint for the claim, got %+v", p.Stops)
 	}
 	for i := range 4 {
 		f.endAttempt(fmt.Sprint("lent-", i), Result{Kind: ResultStopped, Checkpointed: true})
@@ -186,7 +194,8 @@
 	f.wantState("lent-0", jobs.StateWaiting)
 }
 
-// TestReclaimStopsLeastLostWork guards against a reclaim that stops the job with the most work to lose.
+// TestReclaimStopsLeastLostWork guards against a reclaim that stops another job than the one with the least work to
+// lose.
 func TestReclaimStopsLeastLostWork(t *testing.T) {
 	f := newFixture(t, 2, withGuarantee("a", 1, shape(1, 8, resource.AdjacencyNone)))
 	f.submit("old", "b", shape(1, 8, resource.AdjacencyNone))
@@ -196,11 +205,12 @@
 	f.planAndStart()
 	f.submit("claim", "a", shape(1, 8, resource.AdjacencyNone))
 	if got := stoppedJobs(f.planAndStart()); got != "young" {
-		t.Errorf("stopped %q, want young", got)
+		t.Errorf("reclaim stopped %q, want young", got)
 	}
 }
 
-// TestBlockedGangGetsReservation guards against a gang that is starved by an endless stream of small jobs.
+// TestBlockedGangGetsReservation guards against a gang that is starved by a continuous sequence of small jobs: against
+// a reservation that comes late or that later jobs can use.
 func TestBlockedGangGetsReservation(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	for i := range 31 {
@@ -230,7 +240,7 @@
 	f.wantState("gang", jobs.StateRunning)
 }
 
-// TestUrgentJobStartsFirst guards against an urgent job that waits behind earlier submissions.
+// TestUrgentJobStartsFirst guards against an urgent job that waits behind an earlier submission.
 func TestUrgentJobStartsFirst(t *testing.T) {
 	f := newFixture(t, 1, nil)
 	f.submit("first", "a", shape(1, 8, resource.AdjacencyNone))
--- a/scheduler/driver_test.go
+++ b/scheduler/driver_test.go
@@ -10,7 +10,7 @@
 )
 
 // driver carries out plans in virtual time: it starts, ends and stops attempts after fixed delays and reports the
-// results. It takes the place of the caller of the core and models nothing else.
+// results. It takes the place of the caller of the core and simulates nothing else.
 type driver struct {
 	planner Planner
 	now     time.Time
@@ -19,9 +19,9 @@
 	jobs    map[string]*simJob
 	// live holds the jobs that have not ended.
 	live map[string]*simJob
-	// used sums the resources of placed jobs on each worker, independently of the core.
+	// used holds the resources of placed jobs by worker id, counted independently of the core.
 	used map[string]resource.Resources
-	// silent lists the workers that send no reports.
+	// silent holds the ids of the workers that send no reports.
 	silent map[string]bool
 	// startDelay is the time from a plan until its members run; stopDelay and checkpointDelay are the times of a stop
 	// without and with a checkpoint.
@@ -38,7 +38,8 @@
 	// the time of the plan itself.
 	callTime   time.Duration
 	onDecision func(time.Duration)
-	nextWake   time.Time
+	// nextWake is the time of the latest timer for Plan.NextCheck.
+	nextWake time.Time
 }
 
 // simJob is the driver's record of a job and its true run time.
@@ -52,14 +53,17 @@
 	attempt   uint64
 	placement Placement
 	// runningSince is when the members began to run, zero before that.
-	runningSince        time.Time
-	stopping            bool
-	ended               bool
-	starts              int
+	runningSince time.Time
+	// stopping reports whether the stop of the current attempt is in progress.
+	stopping bool
+	ended    bool
+	starts   int
+	// mayRunAgain reports whether the job may start again under the rules for run-once jobs.
 	mayRunAgain         bool
 	cancelRequested     bool
 	firstStart, endedAt time.Time
-	lostTime            time.Duration
+	// lostTime is the run time of attempts whose progress was lost.
+	lostTime time.Duration
 }
 
 type timer struct {
@@ -151,6 +155,7 @@
 	return true
 }
 
+// addUsage adds the resources of the placement of j to used, or subtracts them if sign is -1.
 func (d *driver) addUsage(j *simJob, sign int) {
 	for _, id := range j.placement {
 		d.used[id] = d.used[id].Add(j.Shape.PerMember.Times(sign))
@@ -188,6 +193,8 @@
 	return true
 }
 
+// becomeRunning reports the members of an attempt as running and schedules its end. It has no effect if the attempt has
+// ended, is being stopped or has a silent worker.
 func (d *driver) becomeRunning(j *simJob, attempt uint64) {
 	if !d.responsive(j, attempt) || j.stopping {
 		return
@@ -210,6 +217,7 @@
 	}
 }
 
+// completeAttempt ends the attempt as completed, as soon as all its workers send reports.
 func (d *driver) completeAttempt(j *simJob, attempt uint64) {
 	if j.attempt != attempt || j.placement == nil || j.stopping {
 		return
@@ -276,6 +284,8 @@
 	d.after(delay, func() { d.finishStop(j, s) })
 }
 
+// finishStop ends the attempt as stopped, or as not started if its members never ran, as soon as all its workers send
+// reports.
 func (d *driver) finishStop(j *simJob, s Stop) {
 	if j.attempt != s.Attempt || j.placement == nil {
 		return
--- a/scheduler/load_test.go
+++ b/scheduler/load_test.go
@@ -27,7 +27,7 @@
 	warmUpJobs int
 }
 
-// jobKind describes a share of the arrivals.
+// jobKind describes a share of the arrivals; median is the median of the true run times.
 type jobKind struct {
 	share  float64
 	shape  resource.Shape
@@ -72,6 +72,7 @@
 	return list
 }
 
+// pickKind draws a kind of jobs by its share.
 func (p *profile) pickKind(r *rand.Rand) jobKind {
 	x := r.Float64()
 	for _, k := range p.mix {
--- a/scheduler/prove_test.go
+++ b/scheduler/prove_test.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// TestProve runs randomised scenarios from PROVE_SEED for make prove.
+// TestProve guards against violations of the invariants and scheduling rules in up to 40 random scenarios, whose seeds
+// derive from PROVE_SEED. It starts no further scenario after 6 s. make prove calls it.
 func TestProve(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("PROVE_SEED"), 10, 64)
 	if err != nil {
-		t.Fatal("set PROVE_SEED to a number")
+		t.Fatal("PROVE_SEED is not set to an unsigned integer")
 	}
 	began := time.Now()
 	total, first := 0, ""
--- a/scheduler/scenario_test.go
+++ b/scheduler/scenario_test.go
@@ -15,7 +15,9 @@
 
 // Parameters of the scenarios.
 const (
-	scenarioSpan    = 3 * time.Hour
+	// scenarioSpan is the virtual time that a scenario covers.
+	scenarioSpan = 3 * time.Hour
+	// scenarioMaxWait is policy.max_wait_ms, the wait after which a gang gets a reservation.
 	scenarioMaxWait = time.Minute
 	// maxRunTime is the longest true run time of a job.
 	maxRunTime = 5 * time.Minute
@@ -25,13 +27,15 @@
 type scenario struct {
 	*driver
 	*checker
-	core         *Core
-	random       *rand.Rand
-	doc          *config.Document
-	workerIDs    []string
+	core      *Core
+	random    *rand.Rand
+	doc       *config.Document
+	workerIDs []string
+	// faultyWorker holds the ids of the workers on which every attempt fails.
 	faultyWorker map[string]bool
-	jobCount     int
-	// faultFree leaves out faults, so that waits are bounded by the core alone.
+	// jobCount is the number of submitted jobs; their ids count from 1.
+	jobCount int
+	// faultFree leaves out faults and configuration changes. Only then can the checks demand bounds on waits.
 	faultFree bool
 }
 
@@ -48,6 +52,7 @@
 	return s.violations
 }
 
+// newScenario returns a scenario with all its events scheduled. Every third seed gives a scenario without faults.
 func newScenario(seed uint64, o options) *scenario {
 	r := rand.New(rand.NewPCG(seed, 3))
 	core := New(testDomain)
@@ -100,17 +105,19 @@
 	return doc
 }
 
+// configure passes the current configuration to the core and the checker.
 func (s *scenario) configure() {
 	s.timeCall(func() { s.core.SetConfig(s.doc, s.now) })
 	s.checker.setConfig(s.doc)
 }
 
+// reportHealth reports the health of a worker to the core and the checker.
 func (s *scenario) reportHealth(id string, h Health) {
 	s.timeCall(func() { s.core.SetWorkerHealth(id, h, s.now) })
 	s.checker.setHealth(id, h)
 }
 
-// randomEvent makes one random event.
+// randomEvent submits a job, cancels one or causes a fault, chosen at random.
 func (s *scenario) randomEvent() {
 	switch x := s.random.IntN(100); {
 	case x < 70:
@@ -120,6 +127,7 @@
 	case x < 88:
 		s.cancelOne()
 	case s.faultFree:
+		// All further kinds of events are faults or configuration changes.
 	case x < 94:
 		s.workerFault()
 	case x < 98:
@@ -129,7 +137,8 @@
 	}
 }
 
-// submitJob assigns the next id to a job and submits it.
+// submitJob assigns the next id to a job and submits it. In a scenario without faults it also checks that a claim
+// starts within its bound.
 func (s *scenario) submitJob(j *simJob) {
 	s.jobCount++
 	j.ID = fmt.Sprintf("job-%04d", s.jobCount)
@@ -148,7 +157,7 @@
 	return "", false
 }
 
-// randomJob draws an ordinary job of any kind.
+// randomJob draws a job of random account, shape and kind; it may match a guarantee of the account.
 func (s *scenario) randomJob() *simJob {
 	r := s.random
 	shapes := []resource.Shape{
@@ -166,7 +175,8 @@
 	return j
 }
 
-// randomClaim draws a job of a guaranteed shape of its account.
+// randomClaim draws a job of the guaranteed shape of a random account, or of any shape if the account has no
+// guarantee.
 func (s *scenario) randomClaim() *simJob {
 	j := s.randomJob()
 	j.Account = fmt.Sprintf("account-%03d", s.random.IntN(3))
@@ -205,6 +215,7 @@
 	}
 }
 
+// cancel cancels a job that has not ended. A waiting job ends at once, a placed one when its attempt does.
 func (s *scenario) cancel(id string) {
 	j := s.jobs[id]
 	if j == nil || j.ended {
@@ -225,6 +236,7 @@
 		j.Shape, j.faulty = shape(1, 1, resource.AdjacencyNone), true
 		s.submitJob(j)
 	}
+	// Until this time no healthy worker may be quarantined (checkFailures).
 	s.checker.faultyBurstUntil = s.now.Add(10 * time.Minute)
 }
 
@@ -235,7 +247,8 @@
 	}
 }
 
-// workerFault makes a worker unreachable, leaving or gone, and restores it later.
+// workerFault makes a worker unreachable or leaving, and restores it after restoreDelay; or it makes the worker
+// unreachable, after 30 s gone, and restores it after a further restoreDelay.
 func (s *scenario) workerFault() {
 	id := s.workerIDs[s.random.IntN(len(s.workerIDs))]
 	if s.checker.health[id] != HealthUp {
@@ -287,7 +300,7 @@
 	return list
 }
 
-// reconfigure changes guarantees and weights, and drains or undrains a worker.
+// reconfigure changes guarantees and weights at random, ends an earlier drain, and drains one worker half of the time.
 func (s *scenario) reconfigure() {
 	s.doc = scenarioDocument(s.random, s.doc.Version+1)
 	s.doc.Drains = map[string]config.Drain{}
@@ -298,7 +311,7 @@
 	s.configure()
 }
 
-// rejectStart ends the first attempt that is still starting, as refused by its first worker.
+// rejectStart ends the first attempt that is still starting, as rejected by its first worker.
 func (s *scenario) rejectStart() {
 	for _, j := range s.placedJobs() {
 		if j.runningSince.IsZero() && !j.stopping && s.responsive(j, j.attempt) {
@@ -308,7 +321,8 @@
 	}
 }
 
-// TestScenarios guards against violations under faults, bursts and cancellations.
+// TestScenarios guards against violated invariants and broken scheduling rules (checker) under faults, bursts,
+// cancellations and configuration changes.
 func TestScenarios(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -319,10 +333,11 @@
 	}
 }
 
-// TestMechanismsMatter guards against checks that never fail: with one mechanism disabled, the scenarios must report
-// its violation.
+// TestMechanismsMatter guards against checks that never fail: with one mechanism disabled, the scenarios must report a
+// violation that contains want. A case is named after the mechanism, or after what happens without it.
 func TestMechanismsMatter(t *testing.T) {
 	cases := map[string]struct {
+		// disabled sets the option that disables the mechanism.
 		disabled options
 		want     string
 	}{
@@ -350,7 +365,7 @@
 					}
 				}
 			}
-			t.Errorf("no violation with %q in 12 scenarios", c.want)
+			t.Errorf("12 scenarios reported no violation that contains %q", c.want)
 		})
 	}
 }
