--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -123,7 +123,8 @@
 	// StopReservation makes room for a job with a reservation.
 	StopReservation StopReason = "reservation"
 	StopCancelled   StopReason = "cancelled"
-	// StopDrain stops a job on a worker that is drained or leaving, or whose capacity the configuration reduced.
+	// StopDrain stops a job on a worker that is drained, leaving or overcommitted, for example after the configuration
+	// reduced its capacity.
 	StopDrain StopReason = "drain"
 	// StopLost stops the remaining members of a gang that lost one.
 	StopLost StopReason = "lost"
--- a/scheduler/binding.go
+++ b/scheduler/binding.go
@@ -34,10 +34,10 @@
 	return best
 }
 
-// bindWithin places a shape on the given workers, starting with those that have the least bindable capacity left. The
-// cost on a single worker is the bindable capacity left over, plus a small surcharge if a claim would have to stop
-// work. The cost on several workers is the bindable accelerators of all workers that hold a member. The result is nil
-// if the shape does not fit.
+// bindWithin places a shape on the given workers, starting with those that have the least bindable capacity left, and
+// returns the workers and the cost. The workers are nil if the shape does not fit. The cost on a single worker is the
+// bindable capacity left over, plus a small surcharge if a claim would have to stop work. The cost on several workers
+// is the number of bindable accelerators on all given workers that could hold a member.
 func bindWithin(s resource.Shape, workers []*worker, singleWorker bool) ([]*worker, float64) {
 	var found []candidate
 	left := 0
@@ -66,7 +66,8 @@
 	return fill(found, s.Members), cost
 }
 
-// bindingCost prefers workers that the binding fills and that have enough free capacity now.
+// bindingCost returns the cost of binding need to w, whose bindable capacity is room. It prefers workers that the
+// binding fills and that have enough free capacity now.
 func bindingCost(w *worker, room, need resource.Resources) float64 {
 	cost := float64(room.Accelerators-need.Accelerators) + freeShare(room.Sub(need), w.capacity)
 	if !need.Fits(w.free()) {
@@ -126,6 +127,7 @@
 	return byCell
 }
 
+// countUnbound returns how many of the cells are bound to no workers.
 func countUnbound(cells []*cell) int {
 	n := 0
 	for _, cl := range cells {
--- a/scheduler/failures.go
+++ b/scheduler/failures.go
@@ -225,7 +225,8 @@
 		}
 	}
 	// If several workers become faulty at once, a good job that fails on them looks faulty until other jobs have failed
-	// there as well. It is therefore not judged by the workers on which it failed until confirmTime has passed.
+	// there as well. Until confirmTime has passed, it is therefore judged only by the number of its failed attempts and
+	// by whether other workers can hold it.
 	settled := len(j.avoided) > 0 && c.now.Sub(j.avoided[0].at) >= confirmTime
 	return settled && (inStanding >= goodStandingFailures || different >= maxFailedWorkers) ||
 		j.failedAttempts >= maxFailedAttempts || different > 1 && !c.fitsOtherWorkers(j)
@@ -268,7 +269,8 @@
 }
 
 // countSuspicions counts the jobs that failed on w and have since completed or run for confirmTime on another worker
-// (confirmed), and those that may be faulty or not (open). It leaves out inconclusive failures.
+// (confirmed), and those of which this is not known yet (open). It leaves out jobs with inconclusive failures that are
+// not confirmed.
 func (c *Core) countSuspicions(w *worker) (confirmed, open int) {
 	for _, s := range w.standing.suspicions {
 		runs := s.job.placed() && !s.job.runningSince.IsZero() && c.now.Sub(s.job.runningSince) >= confirmTime
--- a/scheduler/plan.go
+++ b/scheduler/plan.go
@@ -72,7 +72,8 @@
 }
 
 // stopExcess stops stoppable jobs on an overcommitted worker, those with the least lost work first, until the rest
-// fits. Unstoppable jobs stay. A worker becomes overcommitted when the configuration reduces its capacity.
+// fits. Unstoppable jobs stay. A worker becomes overcommitted when the configuration reduces its capacity or adopted
+// jobs exceed it.
 func (c *Core) stopExcess(w *worker) {
 	if w.used.Fits(w.capacity) {
 		return
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -15,8 +15,8 @@
 	urgent        bool
 	runOnce       bool
 	canCheckpoint bool
-	// solo is the id of a job that failed, or that a worker rejected, and that therefore has its own class. It is empty
-	// for other jobs.
+	// solo is the id of a job that failed or whose start was rejected, and that therefore has its own class. It is
+	// empty for other jobs.
 	solo string
 }
 
--- a/scheduler/reclaim.go
+++ b/scheduler/reclaim.go
@@ -140,7 +140,8 @@
 }
 
 // nowAndAfterStops returns the resources of w that the job gets without further stops, and those that it gets after all
-// jobs have stopped that may be stopped. With waitForUnstoppable, the latter include the resources of unstoppable work.
+// jobs have stopped that may be stopped. With waitForUnstoppable, the latter include the resources of work that must
+// not be stopped.
 func (p *preemption) nowAndAfterStops(w *worker) (now, afterStops resource.Resources) {
 	now = w.free()
 	if p.cell == nil {
@@ -373,6 +374,7 @@
 	return nil
 }
 
+// mustAvoidAny reports whether the job must avoid any worker of the placement.
 func mustAvoidAny(j *job, placement []*worker) bool {
 	return slices.ContainsFunc(placement, j.mustAvoid)
 }
--- a/scheduler/reserve.go
+++ b/scheduler/reserve.go
@@ -15,8 +15,8 @@
 	reservedShare = 0.5
 	// maxReservationStops is how often one job may be stopped for reservations; after that it runs to its end.
 	maxReservationStops = 4
-	// allowedLossShare is the work that stops for a gang may lose, as a share of the gang's accelerators times its
-	// wait. This allowance grows while the gang waits, so victims whose stop is expensive get time to end by
+	// allowedLossShare is the work that stops for a reservation may lose, as a share of the accelerators of its job
+	// times the wait. This allowance grows while the job waits, so victims whose stop is expensive get time to end by
 	// themselves.
 	allowedLossShare = 0.5
 	// reviewIntervalWaits is the time between two reviews of the cost of an open reservation.
@@ -25,19 +25,20 @@
 	// is lost.
 	closeWaits = 4
 	// forceCloseWaits is the age at which a reservation is closed even if it contains work that must not be stopped.
-	// Until then backfill uses the capacity. Without this limit, unstoppable backfill jobs could follow one another
-	// forever and keep the capacity occupied.
+	// Until then backfill uses the capacity. Without this limit, backfill jobs that must not be stopped for the
+	// reservation, for example because they are not smaller, could follow one another forever and keep the capacity
+	// occupied.
 	forceCloseWaits = 8
 	// singleMemberWaits is the wait after which a job of one member with several accelerators gets a reservation. The
 	// queue order serves such a job well, since it needs only one worker. With 12, most single-member jobs would start
 	// through reservations under overload, at the expense of jobs of one accelerator, which get none.
 	singleMemberWaits = 48
-	// overdueWaits is the wait after which gangs get reservations in the order of their waits. overduePriority is the
-	// factor of their priority per second, above that of any gang.
+	// overdueWaits is the wait after which jobs get reservations in the order of their waits. overduePriority is the
+	// factor of their priority per second, above that of any job.
 	overdueWaits    = 8
 	overduePriority = 1e6
-	// reserveUnstoppableWaits is the wait after which a gang may reserve capacity used by work that must not be
-	// stopped, whose end has no bound.
+	// reserveUnstoppableWaits is the wait after which a job may reserve capacity used by work that must not be stopped,
+	// whose end has no bound.
 	reserveUnstoppableWaits = 2
 	// reservationRetryWaits is the time after which the search for a reservation is repeated if it found no placement.
 	reservationRetryWaits = 0.25
@@ -207,7 +208,8 @@
 	c.countHold(j, 1)
 }
 
-// findElsewhere returns free capacity for a job with a reservation, nil if there is none.
+// findElsewhere returns other free capacity for a job with a reservation, nil if there is none or nothing was freed
+// since the last search.
 func (c *Core) findElsewhere(j *job) []*worker {
 	if !c.capacityFreedSince(j.hold) || !c.quotaAllowsStart(j) {
 		return nil
@@ -232,8 +234,8 @@
 	c.countHold(j, 1)
 }
 
-// reserve makes a reservation for the blocked gang with the highest priority. It makes at most one per plan to bound
-// the time of a plan, and requests the next plan soon.
+// reserve makes a reservation for the blocked job with the highest priority. It makes at most one per plan to bound the
+// time of a plan, and requests the next plan soon.
 func (c *Core) reserve() {
 	if c.options.noReservations {
 		return
@@ -285,8 +287,8 @@
 	return first
 }
 
-// reservationPriority returns the accelerators of a blocked gang times its wait in seconds. A gang that has waited for
-// overdueWaits precedes all others, so that larger gangs cannot delay it forever.
+// reservationPriority returns the accelerators of a blocked job times its wait in seconds. A job that has waited for
+// overdueWaits precedes all that have not, so that larger gangs cannot delay it forever.
 func (c *Core) reservationPriority(j *job) float64 {
 	waited := c.now.Sub(j.waitingSince)
 	priority := c.acceleratorWeight(j) * waited.Seconds()
@@ -312,8 +314,8 @@
 	return oldest
 }
 
-// reservationDue returns the earliest time at which a job of the class may get a reservation. It is not before the next
-// search after a failed one.
+// reservationDue returns the earliest time at which a job of the class may get a reservation. After a failed search for
+// one, it is not before reservationRetryAt.
 func (c *Core) reservationDue(q *class) time.Time {
 	j := q.longestWaiting()
 	due := j.waitingSince.Add(c.maxWait())
@@ -326,8 +328,8 @@
 	return due
 }
 
-// reserveFor reserves the placement with the least loss for a gang. If the loss is within the allowance, the victims
-// are stopped at once; otherwise they get time to end by themselves.
+// reserveFor reserves the placement with the least loss for j. If the loss is within the allowance, the victims are
+// stopped at once; otherwise they get time to end by themselves.
 func (c *Core) reserveFor(j *job) {
 	workers, cost, stopsOnly := c.findByStopping(j)
 	if workers == nil {
@@ -406,6 +408,7 @@
 	return d, ok
 }
 
+// computeUntilClose computes the result of untilClose.
 func (c *Core) computeUntilClose() (d time.Duration, ok bool) {
 	for _, j := range c.holds {
 		if j.hold.claim || j.hold.closed {
