--- a/control/adopt.go
+++ b/control/adopt.go
@@ -12,7 +12,8 @@
 	"github.com/redwingthread/redwingthread/scheduler"
 )
 
-// reconcileInventory applies a new inventory of a worker to the gangs and to the tasks without a gang.
+// reconcileInventory applies the inventory of a worker to the gangs and to the tasks that belong to none. restarted says
+// whether the worker has restarted since its previous inventory.
 func (c *Control) reconcileInventory(w *worker, restarted bool, now time.Time) {
 	t := c.tenure
 	w.inventoryRead = true
@@ -30,7 +31,8 @@
 	c.classifyOrphans(w)
 }
 
-// observeTasks reports to the gangs on a worker which of their members its inventory shows and which it lacks.
+// observeTasks reports to the gangs on a worker which of their members its inventory contains and which it lacks. restarted
+// says whether the worker has restarted since its previous inventory.
 func (c *Control) observeTasks(w *worker, restarted bool) {
 	t := c.tenure
 	seen := map[string]map[int]bool{}
@@ -40,7 +42,7 @@
 			continue
 		}
 		if g.Unseen() {
-			t.onWorker = nil
+			t.gangsByWorker = nil
 		}
 		g.Observe(task.Member, w.id, task)
 		if seen[task.Attempt.Job] == nil {
@@ -57,8 +59,9 @@
 	}
 }
 
-// classifyOrphans decides what happens to the tasks of a worker that belong to no current attempt. Tasks of a job that is not
-// known yet are kept alive until the job stream has been read to its end; all others are stopped and then forgotten.
+// classifyOrphans determines what to send to a worker for its tasks that belong to no current attempt. The leases of tasks of
+// a job that is not known yet are renewed until the job stream has been read to its end. All other tasks are stopped and then
+// forgotten.
 func (c *Control) classifyOrphans(w *worker) {
 	t := c.tenure
 	w.orphanCommands = nil
@@ -83,8 +86,8 @@
 	w.requestDue = w.requestDue || len(w.orphanCommands) > 0
 }
 
-// adoptAll adopts the running attempts and starts planning. It is called once the inventories of all workers that respond
-// have been read.
+// adoptAll adopts the running attempts, admits the waiting jobs and starts planning. It is called once in a tenure, when
+// readyToAdopt is true.
 func (c *Control) adoptAll(now time.Time) {
 	t := c.tenure
 	t.adopted = true
@@ -104,7 +107,7 @@
 		}
 	}
 	c.resolveUnread(now)
-	c.log.Info().Uint64("epoch", t.epoch).Int("adopted", len(t.gangs)).Int("blocked", len(t.blocked)).
+	c.logger.Info().Uint64("epoch", t.epoch).Int("adopted", len(t.gangs)).Int("blocked", len(t.blocked)).
 		Msg("inventories read")
 }
 
@@ -136,8 +139,9 @@
 	c.submit(e, now)
 }
 
-// submit submits a job that runs nowhere to the planner. A run-once job with an intent may have run and ends as unknown,
-// unless this tenure wrote the intent and has sent no release since.
+// submit submits a job that runs nowhere to the planner. It ends a cancelled job and a job that the planner rejects. A
+// run-once job with an intent may have run and ends as unknown, unless this tenure wrote the intent and has sent no release
+// since.
 func (c *Control) submit(e *jobs.Entry, now time.Time) {
 	t := c.tenure
 	if e.Cancelled {
@@ -154,12 +158,13 @@
 	t.planDue = true
 }
 
-// ownIntent reports whether this tenure wrote the winning intent and has sent no release since.
+// ownIntent reports whether this tenure wrote the winning intent of a job and has sent no release since. e.Intent must not
+// be nil.
 func (c *Control) ownIntent(e *jobs.Entry) bool {
 	return e.Intent.Holder == c.Holder && e.Intent.Epoch == c.tenure.epoch && !c.tenure.released[e.Job.ID]
 }
 
-// adoptJob adopts the newest attempt of a job that the inventories show. It reports whether it adopted one.
+// adoptJob adopts the newest attempt of a job that the inventories contain. It reports whether it adopted one.
 func (c *Control) adoptJob(id string, now time.Time) bool {
 	t := c.tenure
 	e, ok := c.fold.Get(id)
@@ -183,26 +188,26 @@
 		for _, task := range w.tasks {
 			if w.inventoryRead && task.Attempt == g.ID() {
 				g.Observe(task.Member, w.id, task)
-				// The task leases are due for renewal, since the last one by the previous holder may be long ago.
+				// The task leases are due for renewal, since the previous holder may have renewed them long ago.
 				w.lastRenewedAt = time.Time{}
 				w.requestDue = true
 			}
 		}
 	}
-	t.onWorker = nil
+	t.gangsByWorker = nil
 	delete(t.blocked, id)
 	placement := c.plannerPlacement(g)
 	t.planner.Adopt(e.Job, attempt, placement, jobs.StateRunning, now)
 	if g.Unseen() {
 		t.provisional[id] = placement
 	}
-	c.log.Info().Str("job", id).Str("account", e.Job.Account).Uint64("attempt", attempt).Msg("attempt adopted")
+	c.logger.Info().Str("job", id).Str("account", e.Job.Account).Uint64("attempt", attempt).Msg("attempt adopted")
 	return true
 }
 
-// plannerPlacement returns the placement of a gang with assumed workers for members that were not found. It prefers workers
-// whose inventory has not been read, since one of those must have the member. It avoids overcommitting a worker where
-// possible, since the planner stops work on an overcommitted worker.
+// plannerPlacement returns the placement of a gang, with assumed workers for members that have not been found. It prefers
+// workers whose inventory has not been read, since the member must be on one of them if it still runs. It avoids
+// overcommitting a worker where possible, since the planner stops jobs on an overcommitted worker.
 func (c *Control) plannerPlacement(g *gang.Gang) scheduler.Placement {
 	placement := g.Placement()
 	if !slices.Contains(placement, "") {
@@ -247,7 +252,7 @@
 	return used
 }
 
-// unreadFirst returns the ids of the configured workers in order, those whose inventory has not been read first.
+// unreadFirst returns the ids of the configured workers in sorted order, first those whose inventory has not been read.
 func (c *Control) unreadFirst() []string {
 	var ids []string
 	for id := range c.workers {
@@ -267,7 +272,7 @@
 	return ids
 }
 
-// correctPlacement replaces the provisional placement of an adopted gang in the planner once all members were found.
+// correctPlacement replaces the provisional placement of an adopted gang in the planner once no member is unseen.
 func (c *Control) correctPlacement(g *gang.Gang, now time.Time) {
 	t := c.tenure
 	id := g.Job().ID
@@ -280,12 +285,13 @@
 	if slices.Equal(assumed, found) || g.Phase() == gang.PhaseEnded {
 		return
 	}
-	// After a checkpointed stop the planner keeps the job as waiting, so that it can be adopted again.
+	// A checkpointed stop is reported because the planner then keeps the job as waiting, so that it can be adopted again.
 	t.planner.Ended(id, t.plannerAttempt[id], scheduler.Result{Kind: scheduler.ResultStopped, Checkpointed: true}, now)
 	t.planner.Adopt(g.Job(), t.plannerAttempt[id], found, jobs.StateRunning, now)
 	t.planDue = true
 }
 
+// newestAttempt returns the highest number of an attempt at a job in the inventories that have been read.
 func (c *Control) newestAttempt(id string) (attempt uint64, found bool) {
 	for _, w := range c.workers {
 		if !w.inventoryRead {
@@ -300,8 +306,8 @@
 	return attempt, found
 }
 
-// resolveUnread marks unseen members as gone and admits blocked jobs, once all workers' inventories have been read or the
-// task leases on the other workers have expired.
+// resolveUnread marks unseen members as gone and admits blocked jobs once the inventories of all workers have been read, or
+// the task leases on the other workers have expired.
 func (c *Control) resolveUnread(now time.Time) {
 	t := c.tenure
 	if t.unreadResolved || c.unreadWorkers() > 0 && now.Before(t.unreadLeasesExpireAt) {
--- a/control/appender.go
+++ b/control/appender.go
@@ -16,6 +16,7 @@
 // 7 failure domains uses at most 10.
 const (
 	appendsPerSecond = 10
+	// appendBatch is the maximum number of records of one append.
 	appendBatch      = 200
 	appendTimeout    = 2 * time.Second
 	appendBackoff    = 250 * time.Millisecond
@@ -28,7 +29,7 @@
 	log    infra.Log
 	stream string
 	wake   chan struct{}
-	// results receives the result of each append.
+	// results receives the error of each append, nil for a confirmed one.
 	results chan error
 
 	mu sync.Mutex
@@ -60,6 +61,7 @@
 	a.generation++
 }
 
+// nextBatch removes the next records from the queue and returns them with the current generation.
 func (a *appender) nextBatch() (records []jobs.Record, generation int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,6 +81,7 @@
 	a.queue = append(append([]jobs.Record(nil), batch...), a.queue...)
 }
 
+// run appends the queued records until ctx ends.
 func (a *appender) run(ctx context.Context) {
 	limiter := rate.NewLimiter(appendsPerSecond, appendsPerSecond)
 	backoff := appendBackoff
@@ -97,7 +100,7 @@
 				break
 			}
 			err := a.append(ctx, records)
-			if !a.report(ctx, err) {
+			if !a.sendResult(ctx, err) {
 				return
 			}
 			if err == nil {
@@ -113,7 +116,8 @@
 	}
 }
 
-func (a *appender) report(ctx context.Context, err error) bool {
+// sendResult sends the result of an append to results. It returns false if ctx ended before the result was received.
+func (a *appender) sendResult(ctx context.Context, err error) bool {
 	select {
 	case a.results <- err:
 		return true
--- a/control/control.go
+++ b/control/control.go
@@ -19,7 +19,7 @@
 // Control runs the scheduler of one failure domain. The goroutine of Run owns doc and all fields below it.
 type Control struct {
 	Options
-	log         zerolog.Logger
+	logger      zerolog.Logger
 	instruments *instruments
 	queries     chan query
 	// stopped is closed when Run ends.
@@ -30,7 +30,7 @@
 	follower  *follower
 	appender  *appender
 	responses chan requestResult
-	// requests counts the goroutines that send requests to workers.
+	// requests counts the goroutines that are sending requests to workers.
 	requests sync.WaitGroup
 
 	doc           *config.Document
@@ -39,16 +39,16 @@
 	workers       map[string]*worker
 	tenure        *tenure
 	nextLeaseStep time.Time
-	// caughtUp is set once the job stream was read up to its end.
+	// caughtUp is set once a read has reached the end of the job stream.
 	caughtUp bool
 	// caughtUpAt is the time of the last read that reached the end of the job stream.
 	caughtUpAt time.Time
-	// readFailed and appendFailed say whether the last read from and append to the log failed.
+	// readFailed and appendFailed are set if the last read from the log or the last append to it failed.
 	readFailed   bool
 	appendFailed bool
 	// lastSnapshotAt is the time at which this process last queued a snapshot, or the time of the start.
 	lastSnapshotAt time.Time
-	// conditions holds the conditions that were last logged.
+	// conditions holds the conditions of the last plan, which have been logged.
 	conditions conditions
 }
 
@@ -58,33 +58,39 @@
 	address string
 	// inFlight is set while a request is in flight. There is at most one, so that commands stay in order.
 	inFlight bool
-	retryAt  time.Time
+	// retryAt is the time before which no request is sent because the last one failed; zero if it succeeded.
+	retryAt time.Time
 	// leaseRequest is the lease request to send next; nil if there is none.
 	leaseRequest *lease.Request
 	// requestDue is set if there are commands or task renewals to send to the worker.
 	requestDue bool
 
-	// revision is the revision of the inventory in tasks, probeRevision the last one that a probe returned.
+	// revision is the revision of the inventory in tasks; 0 makes the worker send its whole inventory. probeRevision is the
+	// revision that a probe last returned.
 	revision      uint64
 	probeRevision uint64
-	incarnation   string
-	tasks         []infra.Task
-	leaving       bool
+	// incarnation, tasks and leaving are those of the last inventory. incarnation is empty before the first one; leaving is
+	// set if the inventory says that the worker is leaving.
+	incarnation string
+	tasks       []infra.Task
+	leaving     bool
 	// claimEpoch is the epoch of the claim whose response brought the inventory; 0 for none.
 	claimEpoch uint64
 	// inventoryRead is set once the inventory was read in this tenure.
 	inventoryRead bool
 	// health is the health last reported to the planner.
 	health scheduler.Health
-	// lastResponseAt is the time of the last response that granted the lease.
+	// lastResponseAt is the time at which the last response that granted the lease arrived. For a response to a claim that had
+	// no majority yet, it is the time at which the claim was sent.
 	lastResponseAt time.Time
-	// lastExtendedAt is the time at which the last request that may extend a task lease was sent.
+	// lastExtendedAt is the time at which the last request that may start or extend a task lease was sent.
 	lastExtendedAt time.Time
-	// lastRenewedAt is the time at which the last confirmed renewal of task leases was sent.
+	// lastRenewedAt is the time at which the last confirmed renewal of task leases was sent, or the last confirmed request
+	// while no gang was on the worker. Zero makes a renewal due at once.
 	lastRenewedAt time.Time
-	// orphanCommands holds the commands that stop or forget tasks without a gang.
+	// orphanCommands holds the commands that stop or forget the tasks that belong to no gang.
 	orphanCommands []infra.Command
-	// unknownAttempts holds attempts without a gang whose tasks are kept alive because their job is not known yet.
+	// unknownAttempts holds the attempts whose task leases are renewed although their job is not known yet.
 	unknownAttempts []infra.AttemptID
 }
 
@@ -97,35 +103,41 @@
 	adopted bool
 	// unreadLeasesExpireAt is the time at which the leases of tasks on workers that were never read must have expired.
 	unreadLeasesExpireAt time.Time
-	// gangs holds the current attempt of each job.
+	// gangs holds the current attempt of each job by job id.
 	gangs map[string]*gang.Gang
-	// plannerAttempt holds the planner's number of the current attempt of each job.
+	// plannerAttempt holds the planner's number of the current attempt of each job by job id.
 	plannerAttempt map[string]uint64
-	// endPending holds the jobs whose ended record was queued but not read back yet.
+	// endPending holds the ids of the jobs whose ended record was queued but not read back yet.
 	endPending map[string]bool
-	// blocked holds the jobs that may still run on a worker whose inventory was never read.
+	// blocked holds the ids of the jobs that are not submitted to the planner yet, because they may still run on a worker whose
+	// inventory was never read.
 	blocked map[string]bool
-	// released holds the run-once jobs for which a release may have been sent in this tenure.
+	// released holds the ids of the jobs for which a release may have been sent in this tenure.
 	released map[string]bool
-	// intentSent holds the attempt of each job for which an intent was last queued.
-	intentSent map[string]uint64
-	// checkpoints holds the checkpoints of jobs that were stopped in this tenure.
+	// queuedIntents holds, by job id, the attempt for which an intent was last queued.
+	queuedIntents map[string]uint64
+	// checkpoints holds, by job id, the checkpoint of each member of the jobs that were checkpointed and stopped in this
+	// tenure.
 	checkpoints map[string][]string
-	// provisional holds the assumed placement that the planner has of adopted gangs while members are not found yet.
+	// provisional holds, by job id, the placement that the planner was given of an adopted gang of which not all
+	// members have been found. It has assumed workers for the others.
 	provisional map[string]scheduler.Placement
-	// unsettled holds the gangs that need steps as time passes or have members not found yet. The others need a step only
-	// after an event.
+	// unsettled holds, by job id, the gangs that need steps as time passes, or of which not all members have been found. The
+	// others need a step only after an event.
 	unsettled map[string]*gang.Gang
-	// onWorker holds the gangs on each worker in order of job id; nil after a change of placements.
-	onWorker map[string][]*gang.Gang
-	// unreadResolved is set once no adopted gang and no job waits for workers whose inventory was not read.
+	// gangsByWorker holds the gangs on each worker in order of job id; nil after a change of placements.
+	gangsByWorker map[string][]*gang.Gang
+	// unreadResolved is set while no adopted gang and no job waits for workers whose inventory has not been read.
 	unreadResolved bool
 	// nextHealthCheck is the time of the next check of the health of all workers.
 	nextHealthCheck time.Time
-	// startSpans holds the trace span of each attempt that is starting.
-	startSpans     map[string]startSpan
-	planDue        bool
-	nextPlan       time.Time
+	// startSpans holds, by job id, the trace span of each attempt that is starting.
+	startSpans map[string]startSpan
+	// planDue is set if an event requires a plan. nextPlan is the time at which the planner needs one without an event; zero
+	// if there is none.
+	planDue  bool
+	nextPlan time.Time
+	// snapshotQueued is set once this tenure has queued a snapshot.
 	snapshotQueued bool
 }
 
@@ -138,7 +150,7 @@
 	stream := infra.JobStream(options.FailureDomain)
 	return &Control{
 		Options:     options,
-		log:         options.Logger,
+		logger:      options.Logger,
 		instruments: newInstruments(options.Metrics),
 		queries:     make(chan query),
 		stopped:     make(chan struct{}),
@@ -157,7 +169,7 @@
 	return epoch > 0, epoch
 }
 
-// Run runs the scheduler until ctx ends, then relinquishes the lease and returns nil. It must be called once.
+// Run runs the scheduler until ctx ends, then relinquishes the lease and returns nil. It must be called at most once.
 func (c *Control) Run(ctx context.Context) error {
 	defer close(c.stopped)
 	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -169,7 +181,7 @@
 	c.relinquishLease(workCtx)
 	cancel()
 	background.Wait()
-	c.drainResponses()
+	c.discardResponses()
 	return nil
 }
 
@@ -181,8 +193,8 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case b := <-c.follower.results:
-			c.applyRead(b, time.Now())
+		case result := <-c.follower.results:
+			c.applyRead(result, time.Now())
 		case r := <-c.responses:
 			c.applyResponse(r, time.Now())
 		case err := <-c.appender.results:
@@ -195,7 +207,7 @@
 	}
 }
 
-// step does everything that is due and returns the time after which it must be called again if there is no event before.
+// step does everything that is due and returns the duration after which it must be called again if there is no event before.
 func (c *Control) step(ctx context.Context, now time.Time) time.Duration {
 	c.instruments.updateCPU(now)
 	c.applyConfig(now)
@@ -207,27 +219,28 @@
 	return c.untilNext(now)
 }
 
+// untilNext returns the duration until the next step that is due without an event, between 1 ms and maxIdle.
 func (c *Control) untilNext(now time.Time) time.Duration {
 	next := now.Add(maxIdle)
-	earlier := func(at time.Time) {
+	considerTime := func(at time.Time) {
 		if !at.IsZero() && at.Before(next) {
 			next = at
 		}
 	}
-	earlier(c.nextLeaseStep)
+	considerTime(c.nextLeaseStep)
 	for _, w := range c.workers {
 		if w.inFlight {
 			continue
 		}
 		if w.requestDue || w.leaseRequest != nil {
-			earlier(w.retryAt)
+			considerTime(w.retryAt)
 		}
 	}
 	if t := c.tenure; t != nil {
-		earlier(t.nextPlan)
+		considerTime(t.nextPlan)
 		for _, g := range t.unsettled {
-			earlier(g.Next())
-			earlier(g.RepeatAt())
+			considerTime(g.Next())
+			considerTime(g.RepeatAt())
 		}
 	}
 	return max(next.Sub(now), time.Millisecond)
@@ -266,6 +279,7 @@
 	}
 }
 
+// configured reports whether the configuration has the worker in this failure domain.
 func (c *Control) configured(id string) bool {
 	if c.doc == nil {
 		return false
@@ -312,7 +326,7 @@
 		endPending:           map[string]bool{},
 		blocked:              map[string]bool{},
 		released:             map[string]bool{},
-		intentSent:           map[string]uint64{},
+		queuedIntents:        map[string]uint64{},
 		checkpoints:          map[string][]string{},
 		provisional:          map[string]scheduler.Placement{},
 		unsettled:            map[string]*gang.Gang{},
@@ -326,11 +340,11 @@
 	c.instruments.tenures.Inc(1)
 	c.tenure.planner.SetConfig(c.doc, now)
 	c.follower.requestRead()
-	c.log.Info().Uint64("epoch", c.tenure.epoch).Str("holder", c.Holder).Msg("scheduler active")
+	c.logger.Info().Uint64("epoch", c.tenure.epoch).Str("holder", c.Holder).Msg("scheduler active")
 }
 
 // endTenure discards all state that only the active scheduler may rely on, and all queued records. The next holder derives
-// these records from the inventories, since tasks are forgotten only after their ended record was read back.
+// these records again from the inventories, since tasks are forgotten only after their ended record was read back.
 func (c *Control) endTenure(reason string) {
 	t := c.tenure
 	c.tenure = nil
@@ -343,5 +357,5 @@
 		*w = worker{id: w.id, address: w.address, inFlight: w.inFlight, leaseRequest: w.leaseRequest,
 			health: scheduler.HealthUnreachable}
 	}
-	c.log.Info().Uint64("epoch", t.epoch).Str("reason", reason).Msg("scheduler standby")
+	c.logger.Info().Uint64("epoch", t.epoch).Str("reason", reason).Msg("scheduler standby")
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -44,7 +44,7 @@
 			Adjacency: resource.AdjacencyNone, PerMember: resource.Resources{Accelerators: 4}}}})
 }
 
-// running returns the number of members of a job that have been released.
+// running returns the number of tasks of a job that have been released, including ended ones that are not forgotten yet.
 func (s *scenario) running(job string) int {
 	count := 0
 	for _, w := range s.workers {
@@ -59,8 +59,8 @@
 	return count
 }
 
-// TestUrgentStart guards against urgent jobs that start later than 1.8 s after their submission. That includes run-once jobs,
-// which first append an intent to the log and read it back.
+// TestUrgentStart guards against urgent jobs that start later than 1.8 s after their submission or are not reported as running
+// then. That includes run-once jobs, which first append an intent to the log and read it back.
 func TestUrgentStart(t *testing.T) {
 	for id, runOnce := range map[string]bool{"p9-urgent": false, "o9-urgent": true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -71,15 +71,15 @@
 				t.Errorf("%d of 9 members of %s run after 1.8 s", n, id)
 			}
 			if state := s.queryStatus(id); state != "running " {
-				t.Errorf("the active scheduler reports %q", state)
+				t.Errorf("the active scheduler reports %q, want \"running \"", state)
 			}
 			s.shutDown()
 		})
 	}
 }
 
-// TestStandbyTakesOverAfterPlannedStop guards against a planned stop after which the standby waits until the leases expire,
-// and against one that stops running tasks.
+// TestStandbyTakesOverAfterPlannedStop guards against a planned stop of the active scheduler after which the standby waits
+// until the leases expire, and against one that stops running tasks.
 func TestStandbyTakesOverAfterPlannedStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startScenario(t)
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestEndedRecordSurvivesOutageAndCrash guards against the loss of the end of a job that ended during an outage of the log,
-// if the scheduler crashes before the outage is over.
+// TestEndedRecordSurvivesOutageAndCrash guards against a job that never ends or runs again because it ended during an outage
+// of the log and the scheduler crashed before the outage was over.
 func TestEndedRecordSurvivesOutageAndCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startScenario(t)
@@ -151,14 +151,14 @@
 			t.Errorf("job %s has not ended", e.Job.ID)
 		}
 		if runs := s.onceRuns["o5-job/0"]; runs != 1 {
-			t.Errorf("member 0 ran %d times", runs)
+			t.Errorf("member 0 ran %d times, want 1", runs)
 		}
 		s.shutDown()
 	})
 }
 
 // TestRunOnceWaitsForLog guards against a run-once job that is released while an outage of the log prevents the record of its
-// intent.
+// intent, and against one that does not run exactly once after the outage.
 func TestRunOnceWaitsForLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := startScenario(t)
@@ -166,12 +166,12 @@
 		s.setLog(true, 0)
 		time.Sleep(60 * time.Second)
 		if n := s.running("o5-job"); n != 0 {
-			t.Errorf("%d members run without an intent in the log", n)
+			t.Errorf("%d members run without an intent in the log, want 0", n)
 		}
 		s.setLog(false, 0)
 		time.Sleep(15 * time.Second)
 		if runs := s.onceRuns["o5-job/0"]; runs != 1 {
-			t.Errorf("member 0 ran %d times after the outage", runs)
+			t.Errorf("member 0 ran %d times after the outage, want 1", runs)
 		}
 		s.shutDown()
 	})
--- a/control/fakes_test.go
+++ b/control/fakes_test.go
@@ -42,7 +42,7 @@
 	expires time.Time // expiry of the reservation or the task lease
 	readyAt time.Time // time at which loading ends
 	endsAt  time.Time // time at which the task completes or fails by itself; zero before its release
-	fails   bool
+	fails   bool      // fails at endsAt instead of completing
 	stopAt  time.Time // time at which the checkpoint of a stop is complete
 	loading bool
 	fresh   bool // started without a checkpoint
@@ -66,7 +66,7 @@
 	dead         bool
 	leaving      bool
 	failsTasks   bool // all tasks that it releases fail
-	unfenced     bool // grants its lease to anyone
+	unfenced     bool // grants its lease to any holder at any epoch
 	extraRunTime time.Duration
 	incarnation  int
 	revision     uint64
@@ -279,17 +279,17 @@
 	gate    *gate
 
 	mu sync.Mutex
-	// cut, noReply and lossy are the current faults: by worker, requests that are lost and responses that are lost, and the
-	// probability with which any message is lost or late. The key "*" of cut stands for all workers.
-	cut     map[string]bool
-	noReply map[string]bool
-	lossy   float64
+	// requestsLost and responsesLost hold the workers whose requests or responses are lost; the key "*" of requestsLost stands
+	// for all workers. lossProbability is the probability with which any message is lost, or a request is late.
+	requestsLost    map[string]bool
+	responsesLost   map[string]bool
+	lossProbability float64
 }
 
-func (n *fakeNet) faults(worker string) (cut, noReply bool, lossy float64) {
+func (n *fakeNet) faults(worker string) (requestsLost, responsesLost bool, lossProbability float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut[worker] || n.cut["*"], n.noReply[worker], n.lossy
+	return n.requestsLost[worker] || n.requestsLost["*"], n.responsesLost[worker], n.lossProbability
 }
 
 // Commands delivers the request to the worker. According to the faults, the request may be lost or late, and the response may
@@ -298,8 +298,8 @@
 	if !n.gate.pass(ctx) {
 		return infra.CommandsResponse{}, errors.New("killed")
 	}
-	cut, noReply, lossy := n.faults(address)
-	if cut || n.random.chance(lossy) {
+	requestsLost, responsesLost, lossProbability := n.faults(address)
+	if requestsLost || n.random.chance(lossProbability) {
 		<-ctx.Done()
 		return infra.CommandsResponse{}, ctx.Err()
 	}
@@ -309,7 +309,7 @@
 	}
 	done := make(chan result, 1)
 	delay := n.random.between(time.Millisecond, 4*time.Millisecond)
-	if n.random.chance(lossy) {
+	if n.random.chance(lossProbability) {
 		delay = n.random.between(100*time.Millisecond, 4*time.Second)
 	}
 	go func() {
@@ -319,7 +319,7 @@
 	}()
 	select {
 	case r := <-done:
-		if noReply || n.random.chance(lossy) {
+		if responsesLost || n.random.chance(lossProbability) {
 			<-ctx.Done()
 			return infra.CommandsResponse{}, ctx.Err()
 		}
@@ -343,7 +343,7 @@
 	killed bool
 }
 
-// pass waits while the process is frozen and ctx has not ended. It reports whether the process may go on: false once it was
+// pass waits while the process is frozen and ctx has not ended. It reports whether the process may continue: false once it was
 // killed.
 func (g *gate) pass(ctx context.Context) bool {
 	for {
@@ -383,14 +383,14 @@
 type fakeLog struct {
 	random *random
 
-	mu       sync.Mutex
-	records  []infra.Record
-	oldest   uint64
-	retain   int // number of records to retain; 0 for all
-	down     bool
-	lossy    float64
-	appends  int
-	appended chan struct{} // closed by the next append
+	mu              sync.Mutex
+	records         []infra.Record
+	oldest          uint64
+	retain          int // number of records to retain; 0 for all
+	down            bool
+	lossProbability float64 // probability with which a read or an append fails
+	appends         int
+	appended        chan struct{} // closed by the next append
 }
 
 func newFakeLog(r *random) *fakeLog { return &fakeLog{random: r, appended: make(chan struct{})} }
@@ -413,19 +413,19 @@
 	return first
 }
 
-func (l *fakeLog) health() (down bool, lossy float64) {
+func (l *fakeLog) health() (down bool, lossProbability float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.down, l.lossy
+	return l.down, l.lossProbability
 }
 
 func (l *fakeLog) Append(ctx context.Context, _ string, data [][]byte) (uint64, error) {
-	down, lossy := l.health()
+	down, lossProbability := l.health()
 	unavailable := errkind.New(errkind.Unavailable, "retry", "log is down")
 	if down {
 		return 0, unavailable
 	}
-	if l.random.chance(lossy) {
+	if l.random.chance(lossProbability) {
 		if l.random.chance(0.7) {
 			go func() {
 				time.Sleep(l.random.between(0, 3*time.Second))
@@ -442,7 +442,7 @@
 	deadline := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer deadline.Stop()
 	for {
-		if down, lossy := l.health(); down || l.random.chance(lossy) {
+		if down, lossProbability := l.health(); down || l.random.chance(lossProbability) {
 			return infra.ReadResponse{}, errkind.New(errkind.Unavailable, "retry", "log is down")
 		}
 		response, appended := l.read(from, limit)
--- a/control/follower.go
+++ b/control/follower.go
@@ -10,7 +10,9 @@
 
 // Parameters of the follower.
 const (
-	readLimit  = 500
+	// readLimit is the maximum number of records of one read.
+	readLimit = 500
+	// readWaitMS is the time for which a read waits for a record at the end of the stream.
 	readWaitMS = 10_000
 	// readSlack is added to the wait of a read before the read counts as failed. An outage in which the log does not respond
 	// at all is noticed after readWaitMS + readSlack.
@@ -37,7 +39,7 @@
 	return &follower{log: log, stream: stream, wake: make(chan struct{}, 1), results: make(chan readResult)}
 }
 
-// requestRead requests an immediate read. It never blocks.
+// requestRead requests an immediate read, also if the follower is waiting for a record or backing off. It never blocks.
 func (f *follower) requestRead() {
 	select {
 	case f.wake <- struct{}{}:
@@ -45,7 +47,7 @@
 	}
 }
 
-// run reads the stream from offset 0 until ctx ends.
+// run reads the stream from offset 0 on until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	var next uint64
 	backoff := readBackoff
@@ -89,8 +91,8 @@
 // errWoken is returned by a read whose wait was interrupted by requestRead.
 var errWoken = errors.New("woken")
 
-// read reads records from the offset next, waiting up to waitMS for one. It returns errWoken if requestRead is called during
-// the wait.
+// read reads records from the offset next on and waits up to waitMS for one. With a positive waitMS, it
+// returns errWoken if requestRead is called before there is a response.
 func (f *follower) read(ctx context.Context, next uint64, waitMS int) (infra.ReadResponse, error) {
 	timeout := time.Duration(waitMS)*time.Millisecond + readSlack
 	readCtx, cancel := context.WithTimeout(ctx, timeout)
@@ -118,6 +120,7 @@
 	}
 }
 
+// backOff waits for the given time, until requestRead is called or until ctx ends.
 func (f *follower) backOff(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/control/instruments.go
+++ b/control/instruments.go
@@ -9,20 +9,24 @@
 	"github.com/redwingthread/redwingthread/infra"
 )
 
-// instruments holds the metrics of the work that a Control does. infra.HTTPWorkers counts the bytes on the wire, since it
-// handles the connections.
+// instruments holds the metrics of a Control. infra.HTTPWorkers counts the bytes on the wire, since it handles the
+// connections.
 type instruments struct {
+	// requests counts the requests to workers, failures those that ended with an error before the shutdown.
 	requests metrics.Counter
 	failures metrics.Counter
+	// commands and renewals count the commands and the renewed attempts in the requests, repeats included.
 	commands metrics.Counter
 	renewals metrics.Counter
-	appends  metrics.Counter
-	tenures  metrics.Counter
+	// appends counts the confirmed appends to the log.
+	appends metrics.Counter
+	tenures metrics.Counter
 	// starts records the time in milliseconds from the decision to start an attempt until all members run, or until the
 	// start is abandoned.
 	starts metrics.Histogram
 	// cpu is the processor time of the whole process in milliseconds.
-	cpu   metrics.Gauge
+	cpu metrics.Gauge
+	// cpuAt is the time of the last update of cpu.
 	cpuAt time.Time
 }
 
--- a/control/options.go
+++ b/control/options.go
@@ -29,22 +29,22 @@
 	// retryInterval is the delay before the next request to a worker after a failed one.
 	retryInterval = 250 * time.Millisecond
 	// taskRenewInterval is the time between renewals of task leases. A task survives a partition of its worker that is
-	// shorter than what is left of the task lease of 30 s. Renewing the 757 tasks of a failure domain every 2 s would use the
-	// whole budget of 25 KB/s.
+	// shorter than the remainder of its task lease of 30 s. Renewing all tasks of a failure domain of the planned size (757)
+	// every 2 s would use the whole budget of 25 KB/s.
 	taskRenewInterval = 12 * time.Second
-	// unreachableAfter is the time without a response after which nothing is placed on a worker and its task leases are not
-	// renewed.
+	// unreachableAfter is the time since the last response after which nothing is placed on a worker and its task leases are
+	// no longer renewed.
 	unreachableAfter = 6 * time.Second
-	// expiryMargin is added to a task lease before its tasks count as gone, since a request may be delivered after its sender
-	// timed out, and since clocks run at different rates.
+	// expiryMargin is added to the length of a task lease before the task counts as gone, since a request may be delivered
+	// after its sender timed out, and since clocks run at different rates.
 	expiryMargin = 5 * time.Second
 	// readGrace is the time that workers have to respond to the claim before planning starts without them. The leases of a
 	// crashed holder expire over a period of 2 s, since it renewed some workers every 2 s and the others every 4 s.
 	readGrace = 2*time.Second + 200*time.Millisecond
 	// catchUpGrace is the time allowed for reading the job stream to its end before planning starts without it.
 	catchUpGrace = 2 * time.Second
-	// minLeaseStep is the minimum time between checks of the active scheduler for due renewals, so that renewals are sent
-	// together.
+	// minLeaseStep is the minimum time between the lease steps of an active scheduler, so that renewals that are due shortly
+	// after one another are sent together.
 	minLeaseStep = 50 * time.Millisecond
 	// healthInterval is the time between checks for workers that stopped responding.
 	healthInterval = 250 * time.Millisecond
@@ -62,7 +62,7 @@
 	Holder  string
 	Log     infra.Log
 	Workers infra.WorkerClient
-	// Config returns the configuration in force, nil while there is none. Neither side may modify the document.
+	// Config returns the configuration in force, nil while there is none. The document must not be modified.
 	Config func() *config.Document
 	// ConfigChanged receives a value after each change; may be nil.
 	ConfigChanged <-chan struct{}
@@ -77,7 +77,7 @@
 	// Random returns a random number in 0..1; nil for rand.Float64.
 	Random func() float64
 
-	// The fields below disable mechanisms. Tests set them to verify that the checks detect the absence of each.
+	// The fields below disable one mechanism each. Tests set them to verify that their checks detect its absence.
 	withoutIntentCheck bool
 	withoutExpiryWait  bool
 	withoutLeaseCheck  bool
@@ -109,10 +109,11 @@
 // query is a JobQuery that Handle passes to the loop.
 type query struct {
 	request inner.JobQuery
-	reply   chan inner.JobQueryResponse
+	// reply has a buffer of one, so that the loop never blocks on a request that has timed out.
+	reply chan inner.JobQueryResponse
 }
 
-// Handle responds to a JobQuery of a peer. It is an inner.Handler. The error is of kind BadInput for other requests,
+// Handle responds to a JobQuery from a peer. It is an inner.Handler. The error is of kind BadInput for other requests,
 // ShuttingDown once Run has ended, and DeadlineExceeded if ctx ends before the response.
 func (c *Control) Handle(ctx context.Context, _ inner.Member, req *inner.Request) (*inner.Response, error) {
 	if req.JobQuery == nil {
--- a/control/requests.go
+++ b/control/requests.go
@@ -35,6 +35,8 @@
 	}
 }
 
+// send sends the pending lease request of a worker or, if there is none, a renewal of its lease. Only the active
+// scheduler sends renewals, which also carry the commands and task renewals that are due.
 func (c *Control) send(ctx context.Context, w *worker, now time.Time) {
 	kind := lease.KindRenew
 	epoch := c.lease.Epoch()
@@ -122,8 +124,8 @@
 	w.inFlight = false
 	if r.err != nil {
 		c.lease.RequestFailed(r.worker)
-		// The worker may have restarted, and its revisions, which start again, may reach the known one. Revision 0 makes it
-		// send its whole inventory.
+		// The worker may have restarted. Its revisions then start again and may reach the known one. Revision 0 makes it send
+		// its whole inventory.
 		w.revision = 0
 		w.retryAt = now.Add(retryInterval)
 		w.requestDue = w.requestDue || len(r.request.Commands) > 0
@@ -173,6 +175,7 @@
 	}
 }
 
+// setInventory stores an inventory. It reports whether the worker has restarted since the previous one.
 func (w *worker) setInventory(inventory *infra.Inventory) (restarted bool) {
 	restarted = w.incarnation != "" && w.incarnation != inventory.Incarnation
 	w.incarnation = inventory.Incarnation
@@ -182,6 +185,7 @@
 	return restarted
 }
 
+// applyGranted applies the response to a request that the worker granted to this tenure.
 func (c *Control) applyGranted(w *worker, r requestResult, now time.Time) {
 	t := c.tenure
 	w.lastResponseAt = now
@@ -200,6 +204,7 @@
 	c.updateHealth(w, now)
 }
 
+// applyResults passes the results of commands to their gangs.
 func (c *Control) applyResults(w *worker, r requestResult, now time.Time) {
 	for i, result := range r.response.Results {
 		if i >= len(r.request.Commands) {
@@ -215,7 +220,7 @@
 			continue
 		}
 		g.Rejected(command.Member, command.Op, result.Reason, now)
-		c.log.Info().Str("job", command.Attempt.Job).Str("worker", w.id).Str("op", string(command.Op)).
+		c.logger.Info().Str("job", command.Attempt.Job).Str("worker", w.id).Str("op", string(command.Op)).
 			Str("reason", result.Reason).Msg("worker rejected command")
 	}
 }
@@ -231,12 +236,12 @@
 	leaseRequests := c.lease.Relinquish(now)
 	ctx, cancel := context.WithTimeout(ctx, relinquishTimeout)
 	defer cancel()
-	for _, s := range leaseRequests {
-		w := c.workers[s.Worker]
+	for _, leaseRequest := range leaseRequests {
+		w := c.workers[leaseRequest.Worker]
 		if w == nil {
 			continue
 		}
-		request := infra.CommandsRequest{Holder: c.Holder, Epoch: epoch, LeaseMS: s.Length.Milliseconds(),
+		request := infra.CommandsRequest{Holder: c.Holder, Epoch: epoch, LeaseMS: leaseRequest.Length.Milliseconds(),
 			TaskLeaseMS: gang.TaskLease.Milliseconds(), KnownRevision: w.revision}
 		c.instruments.sent(&request)
 		c.requests.Go(func() {
@@ -247,8 +252,8 @@
 	c.waitForRequests()
 }
 
-// waitForRequests waits for the requests in flight, which their timeouts bound. It discards all results, so that no
-// goroutine blocks on sending one.
+// waitForRequests waits for the requests in flight, each of which ends at its timeout at the latest. It discards all results,
+// so that no goroutine blocks on sending one.
 func (c *Control) waitForRequests() {
 	done := make(chan struct{})
 	go func() {
@@ -266,7 +271,8 @@
 	}
 }
 
-func (c *Control) drainResponses() {
+// discardResponses discards the results of requests that ended after the loop.
+func (c *Control) discardResponses() {
 	for len(c.responses) > 0 {
 		<-c.responses
 	}
--- a/control/scenario_checks_test.go
+++ b/control/scenario_checks_test.go
@@ -12,6 +12,7 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
+// onDone records a completed member, for its attempt and for any attempt.
 func (s *scenario) onDone(key taskKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,11 +62,11 @@
 // than gang.DifferBound.
 func (s *scenario) checkWorkers() {
 	now := time.Now()
-	type view struct {
-		runs    int
-		running map[int]bool
+	type attemptView struct {
+		runningTasks int
+		running      map[int]bool // by member
 	}
-	attempts := map[infra.AttemptID]*view{}
+	attempts := map[infra.AttemptID]*attemptView{}
 	running := map[string]infra.AttemptID{}
 	for _, w := range s.workers {
 		w.mu.Lock()
@@ -73,12 +74,12 @@
 		for key, task := range w.tasks {
 			v := attempts[key.attempt]
 			if v == nil {
-				v = &view{running: map[int]bool{}}
+				v = &attemptView{running: map[int]bool{}}
 				attempts[key.attempt] = v
 			}
 			switch task.State {
 			case infra.TaskRunning, infra.TaskCheckpointing:
-				v.runs++
+				v.runningTasks++
 				v.running[key.member] = true
 				if other, ok := running[key.attempt.Job]; ok && other != key.attempt {
 					s.recordViolation("job %s runs as attempts %d and %d at once", key.attempt.Job, other.Attempt, key.attempt.Attempt)
@@ -89,11 +90,11 @@
 		w.mu.Unlock()
 	}
 	for id, v := range attempts {
-		whole := true
+		allOrNone := true
 		for m := range membersOf(id.Job) {
-			whole = whole && (v.runs == 0 || v.running[m] || s.memberDone(id, m))
+			allOrNone = allOrNone && (v.runningTasks == 0 || v.running[m] || s.memberDone(id, m))
 		}
-		if since, ok := s.partialSince[id]; whole {
+		if since, ok := s.partialSince[id]; allOrNone {
 			delete(s.partialSince, id)
 		} else if !ok {
 			s.partialSince[id] = now
@@ -130,7 +131,7 @@
 	return fold
 }
 
-// checkAllJobsEnded checks that every accepted job is known and has ended. It reports a job that has not ended with its tasks
+// checkAllJobsEnded checks that every accepted job is known and has ended. For a job that has not ended, it reports the tasks
 // and the reason that the active scheduler gives.
 func (s *scenario) checkAllJobsEnded() {
 	fold := s.foldLog()
@@ -151,6 +152,7 @@
 	}
 }
 
+// queryStatus returns the state and the reason of a job from the active scheduler.
 func (s *scenario) queryStatus(id string) string {
 	for _, p := range s.processes {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/control/scenario_test.go
+++ b/control/scenario_test.go
@@ -39,16 +39,20 @@
 	log       *fakeLog
 	processes [2]*process
 	options   func(*Options)
-	// faultKinds holds the kinds of faults to inject, with repeats for a higher probability; empty for all.
+	// faultKinds holds the kinds of faults to inject, as numbered in injectFault, with repeats for a higher probability;
+	// empty for all.
 	faultKinds []int
 	// submitted holds the ids of all accepted jobs.
 	submitted []string
 
-	mu           sync.Mutex
-	events       []string
-	violations   []string
-	epochs       map[uint64]string
-	onceRuns     map[string]int
+	mu         sync.Mutex
+	events     []string
+	violations []string
+	// epochs holds the holder whose commands took effect in each epoch.
+	epochs map[uint64]string
+	// onceRuns holds the number of starts without a checkpoint of each member of a run-once job, by "job/member".
+	onceRuns map[string]int
+	// partialSince holds the time since which only some members of an attempt run.
 	partialSince map[infra.AttemptID]time.Time
 	// ran and done hold the members of attempts that were released and that completed. An entry of done with attempt number 0
 	// means that the member completed in any attempt.
@@ -63,8 +67,9 @@
 	gate    *gate
 	cancel  context.CancelFunc
 	done    chan struct{}
-	serial  int
-	stopped bool
+	// incarnation counts the launches of the process.
+	incarnation int
+	stopped     bool
 }
 
 func (s *scenario) tracef(format string, args ...any) {
@@ -115,13 +120,13 @@
 		p = &process{}
 		s.processes[i] = p
 	}
-	p.serial++
+	p.incarnation++
 	p.stopped = false
 	p.gate = &gate{}
-	p.net = &fakeNet{workers: s.workers, random: s.random, gate: p.gate, cut: map[string]bool{}, noReply: map[string]bool{}}
+	p.net = &fakeNet{workers: s.workers, random: s.random, gate: p.gate, requestsLost: map[string]bool{}, responsesLost: map[string]bool{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	g := p.gate
-	name := fmt.Sprintf("s%d.%d", i, p.serial)
+	name := fmt.Sprintf("s%d.%d", i, p.incarnation)
 	options := Options{FailureDomain: "fd", VM: name, Holder: name, Log: s.log, Workers: p.net,
 		Config: s.doc.Load, NewPlanner: newPlanner, Metrics: metrics.NewRegistry(),
 		Logger: zerolog.New(s).With().Str("proc", name).Logger(),
@@ -141,7 +146,7 @@
 	}()
 }
 
-// stop ends process i, gracefully or, with kill, as SIGKILL does.
+// stop ends process i: gracefully, or as SIGKILL does if kill is set.
 func (s *scenario) stop(i int, kill bool) {
 	p := s.processes[i]
 	p.gate.resume(kill)
@@ -200,48 +205,49 @@
 	}
 	s.tracef("fault %d on scheduler %d or %s", kind, i, w.id)
 	switch kind {
-	case 0, 1:
+	case 0, 1: // kill or graceful stop of a scheduler
 		if p.stopped {
 			return func() {}
 		}
 		s.stop(i, kind == 0)
 		return func() { s.launch(t, i) }
-	case 2, 3:
+	case 2, 3: // pause of a scheduler process
 		g := p.gate
 		g.freeze()
 		return func() { g.resume(false) }
-	case 4:
+	case 4: // death of a worker
 		w.kill()
 		return w.revive
-	case 5:
-		setNet(func(n *fakeNet) { n.cut[w.id] = true })
-		return func() { setNet(func(n *fakeNet) { delete(n.cut, w.id) }) }
-	case 6:
-		setNet(func(n *fakeNet) { n.noReply[w.id] = true })
-		return func() { setNet(func(n *fakeNet) { delete(n.noReply, w.id) }) }
-	case 7:
-		setNet(func(n *fakeNet) { n.cut["*"] = true })
-		return func() { setNet(func(n *fakeNet) { delete(n.cut, "*") }) }
-	case 8:
-		setNet(func(n *fakeNet) { n.lossy = 0.2 })
-		return func() { setNet(func(n *fakeNet) { n.lossy = 0 }) }
+	case 5: // loss of all requests of a scheduler to one worker
+		setNet(func(n *fakeNet) { n.requestsLost[w.id] = true })
+		return func() { setNet(func(n *fakeNet) { delete(n.requestsLost, w.id) }) }
+	case 6: // loss of all responses of one worker to a scheduler
+		setNet(func(n *fakeNet) { n.responsesLost[w.id] = true })
+		return func() { setNet(func(n *fakeNet) { delete(n.responsesLost, w.id) }) }
+	case 7: // loss of all requests of a scheduler
+		setNet(func(n *fakeNet) { n.requestsLost["*"] = true })
+		return func() { setNet(func(n *fakeNet) { delete(n.requestsLost, "*") }) }
+	case 8: // random loss and delay of messages of a scheduler
+		setNet(func(n *fakeNet) { n.lossProbability = 0.2 })
+		return func() { setNet(func(n *fakeNet) { n.lossProbability = 0 }) }
 	}
 	switch kind {
-	case 9:
+	case 9: // drain of a worker
 		s.setDrain(w.id, true)
 		return func() { s.setDrain(w.id, false) }
-	case 10:
+	case 10: // failure of all tasks that a worker releases
 		w.update(func() { w.failsTasks = true })
 		return func() { w.update(func() { w.failsTasks = false }) }
-	case 11:
+	case 11: // worker that reports that it is leaving
 		w.update(func() { w.leaving = true })
 		return func() { w.update(func() { w.leaving = false }) }
 	}
+	// Any other kind: outage of the log, or random loss of reads and appends.
 	s.setLog(s.random.chance(0.5), 0.3)
 	return func() { s.setLog(false, 0) }
 }
 
-// setDrain publishes a configuration in which a worker is drained, or no longer is.
+// setDrain publishes a configuration with or without a drain of a worker.
 func (s *scenario) setDrain(worker string, on bool) {
 	next := *s.doc.Load()
 	next.Version++
@@ -256,14 +262,14 @@
 	s.doc.Store(&next)
 }
 
-func (s *scenario) setLog(down bool, lossy float64) {
+func (s *scenario) setLog(down bool, lossProbability float64) {
 	s.log.mu.Lock()
 	defer s.log.mu.Unlock()
-	s.log.down, s.log.lossy = down, lossy
+	s.log.down, s.log.lossProbability = down, lossProbability
 }
 
 // run submits jobs and injects faults for faultTime, then waits up to recoveryTime until all jobs have ended. It checks the
-// workers all the time.
+// workers every 250 ms.
 func (s *scenario) run(t *testing.T) {
 	s.launch(t, 0)
 	s.launch(t, 1)
--- a/control/stream.go
+++ b/control/stream.go
@@ -8,25 +8,25 @@
 )
 
 // applyRead applies the records of one read of the job stream.
-func (c *Control) applyRead(b readResult, now time.Time) {
-	if b.err != nil {
+func (c *Control) applyRead(result readResult, now time.Time) {
+	if result.err != nil {
 		c.readFailed = true
-		c.log.Warn().Err(b.err).Msg("job stream not read")
+		c.logger.Warn().Err(result.err).Msg("job stream not read")
 		return
 	}
 	c.readFailed = false
-	c.fold.Skip(b.response.Oldest)
-	for _, r := range b.response.Records {
+	c.fold.Skip(result.response.Oldest)
+	for _, r := range result.response.Records {
 		change, id, err := c.fold.Apply(r)
 		if err != nil {
-			c.log.Error().Err(err).Uint64("offset", r.Offset).Msg("job stream fold stopped")
+			c.logger.Error().Err(err).Uint64("offset", r.Offset).Msg("job stream fold stopped")
 			return
 		}
 		if c.tenure != nil && c.tenure.adopted {
 			c.applyChange(change, id, now)
 		}
 	}
-	if c.fold.Next() < b.response.Next {
+	if c.fold.Next() < result.response.Next {
 		return
 	}
 	c.caughtUpAt = now
@@ -36,6 +36,7 @@
 	}
 }
 
+// classifyAllOrphans classifies the orphan tasks of all workers again, since all jobs are known now.
 func (c *Control) classifyAllOrphans() {
 	if c.tenure == nil || !c.tenure.adopted {
 		return
@@ -45,15 +46,16 @@
 	}
 }
 
-// applyChange reacts to a change of the folded state in the active scheduler.
+// applyChange applies a change of the folded state to the planner and the gangs of the active scheduler. id is the job that
+// has changed; empty for ChangeLoaded.
 func (c *Control) applyChange(change jobs.Change, id string, now time.Time) {
 	t := c.tenure
 	e, _ := c.fold.Get(id)
 	switch change {
 	case jobs.ChangeSubmitted:
 		if !c.adoptJob(id, now) {
-			// A record that is newer than the takeover names a job that no previous holder has started. That is certain only
-			// if the stream has been read to its end.
+			// Once the stream has been read to its end, each further record is newer than the takeover, so no previous holder
+			// has started its job.
 			if c.caughtUp {
 				c.submit(e, now)
 			} else {
@@ -77,7 +79,8 @@
 	}
 }
 
-// cancel ends a waiting job at once. For a placed job, it makes the planner plan a stop.
+// cancel ends a waiting job at once. For a placed job, it makes the planner plan a stop. It leaves a blocked job
+// to submit.
 func (c *Control) cancel(e *jobs.Entry, now time.Time) {
 	t := c.tenure
 	id := e.Job.ID
@@ -88,14 +91,14 @@
 	}
 }
 
-// applyEnded removes the state of a job whose ended record was read. If another scheduler wrote the record, it also stops the
-// current attempt.
+// applyEnded removes the state of a job whose ended record was read. If this tenure did not write the record, it also stops
+// the current attempt.
 func (c *Control) applyEnded(id string, now time.Time) {
 	t := c.tenure
 	delete(t.blocked, id)
 	delete(t.checkpoints, id)
 	delete(t.released, id)
-	delete(t.intentSent, id)
+	delete(t.queuedIntents, id)
 	g := t.gangs[id]
 	if t.endPending[id] {
 		delete(t.endPending, id)
@@ -116,7 +119,7 @@
 func (c *Control) applyAppend(err error) {
 	c.appendFailed = err != nil
 	if err != nil {
-		c.log.Warn().Err(err).Msg("records not appended, they are kept")
+		c.logger.Warn().Err(err).Msg("records not appended, they are kept")
 		return
 	}
 	c.instruments.appends.Inc(1)
@@ -149,6 +152,8 @@
 	return response
 }
 
+// status returns the status of a job, with attempt, placement and reason from the gang or the planner while the scheduler is
+// active.
 func (c *Control) status(e *jobs.Entry) jobs.Status {
 	status := e.Status()
 	t := c.tenure
--- a/control/tenure.go
+++ b/control/tenure.go
@@ -16,7 +16,7 @@
 )
 
 // A snapshot is appended after Options.SnapshotRecords records, by default snapshotRecords, or after snapshotInterval,
-// whichever comes first, so that it is renewed well before the oldest record that it covers expires.
+// whichever comes first, so that the log always retains a snapshot and all records that follow it.
 const (
 	snapshotRecords  = 1000
 	snapshotInterval = 10 * time.Minute
@@ -26,7 +26,7 @@
 // number.
 const attemptsPerTenure = 10_000
 
-// startSpan is the trace span of an attempt that is starting.
+// startSpan is the trace span of an attempt that is starting, and the time of the decision to start it.
 type startSpan struct {
 	span  trace.Span
 	since time.Time
@@ -34,19 +34,19 @@
 
 // gangsOn returns the gangs with a member on a worker in order of job id.
 func (t *tenure) gangsOn(worker string) []*gang.Gang {
-	if t.onWorker != nil {
-		return t.onWorker[worker]
+	if t.gangsByWorker != nil {
+		return t.gangsByWorker[worker]
 	}
-	t.onWorker = map[string][]*gang.Gang{}
+	t.gangsByWorker = map[string][]*gang.Gang{}
 	for _, g := range t.gangs {
 		for _, on := range g.Workers() {
-			t.onWorker[on] = append(t.onWorker[on], g)
+			t.gangsByWorker[on] = append(t.gangsByWorker[on], g)
 		}
 	}
-	for _, on := range t.onWorker {
+	for _, on := range t.gangsByWorker {
 		sort.Slice(on, func(i, k int) bool { return on[i].Job().ID < on[k].Job().ID })
 	}
-	return t.onWorker[worker]
+	return t.gangsByWorker[worker]
 }
 
 // settled reports whether a gang needs no step until the next event.
@@ -87,7 +87,8 @@
 	return readWorkers && readLog
 }
 
-// updateHealth derives the health of a worker from the time of its last response.
+// updateHealth derives the health of a worker from the time of its last response and, if it does not respond, from the time
+// at which its task leases expire.
 func (c *Control) updateHealth(w *worker, now time.Time) {
 	t := c.tenure
 	if !t.adopted {
@@ -116,6 +117,7 @@
 	return last.Add(gang.TaskLease + expiryMargin)
 }
 
+// reachableHealth returns the health of a worker that responds: HealthLeaving if no new work may be placed on it.
 func (c *Control) reachableHealth(w *worker) scheduler.Health {
 	if _, draining := c.doc.Drains[w.id]; draining || w.leaving || !c.configured(w.id) {
 		return scheduler.HealthLeaving
@@ -127,7 +129,7 @@
 	if w.health == health {
 		return
 	}
-	c.log.Info().Str("worker", w.id).Str("health", string(health)).Msg("worker health changed")
+	c.logger.Info().Str("worker", w.id).Str("health", string(health)).Msg("worker health changed")
 	w.health = health
 	c.reportHealth(w, now)
 }
@@ -187,7 +189,7 @@
 		t.unsettled[id] = g
 	}
 	if g.NeedsIntent() {
-		c.sendIntent(g)
+		c.queueIntent(g)
 	}
 	if before != g.Phase() {
 		c.phaseChanged(g, now)
@@ -203,10 +205,12 @@
 	}
 }
 
+// phaseChanged writes a log line with the new phase of a gang, reports a completed start to the planner, and ends the trace
+// span of a start that was completed or abandoned.
 func (c *Control) phaseChanged(g *gang.Gang, now time.Time) {
 	t := c.tenure
 	id := g.Job().ID
-	c.log.Info().Str("job", id).Str("account", g.Job().Account).Uint64("attempt", g.ID().Attempt).
+	c.logger.Info().Str("job", id).Str("account", g.Job().Account).Uint64("attempt", g.ID().Attempt).
 		Str("phase", string(g.Phase())).Msg("attempt advanced")
 	start, starting := t.startSpans[id]
 	switch g.Phase() {
@@ -242,26 +246,28 @@
 	}
 }
 
-func (c *Control) sendIntent(g *gang.Gang) {
+// queueIntent queues the intent record of an attempt, once for each attempt.
+func (c *Control) queueIntent(g *gang.Gang) {
 	t := c.tenure
 	id := g.ID()
-	if t.intentSent[id.Job] == id.Attempt {
+	if t.queuedIntents[id.Job] == id.Attempt {
 		return
 	}
-	t.intentSent[id.Job] = id.Attempt
+	t.queuedIntents[id.Job] = id.Attempt
 	c.appender.add(jobs.Record{Kind: jobs.RecordIntent, Intent: &jobs.Intent{
 		Job: id.Job, Attempt: id.Attempt, Holder: c.Holder, Epoch: t.epoch}})
 	c.follower.requestRead()
 }
 
 // attemptEnded reports an ended attempt to the planner. It queues an ended record if the job has ended or was checkpointed.
+// For a run-once job that may have run, it calls submit, which ends the job.
 func (c *Control) attemptEnded(g *gang.Gang, now time.Time) {
 	t := c.tenure
 	job := g.Job()
 	result := g.Result()
 	t.planner.Ended(job.ID, t.plannerAttempt[job.ID], result, now)
 	t.planDue = true
-	c.log.Info().Str("job", job.ID).Str("account", job.Account).Uint64("attempt", g.ID().Attempt).
+	c.logger.Info().Str("job", job.ID).Str("account", job.Account).Uint64("attempt", g.ID().Attempt).
 		Str("result", string(result.Kind)).Str("detail", result.Detail).Msg("attempt ended")
 	final := gang.FinalState(job, result, g.Released())
 	e, known := c.fold.Get(job.ID)
@@ -288,7 +294,8 @@
 	}
 }
 
-// endJob queues the ended record of a job. The tasks stay in the inventories until the record is read back.
+// endJob queues the ended record of a job with a final state. The tasks stay in the inventories until the record is read
+// back.
 func (c *Control) endJob(job jobs.Job, attempt uint64, state jobs.State, detail string) {
 	t := c.tenure
 	if t.endPending[job.ID] {
@@ -296,18 +303,19 @@
 	}
 	t.endPending[job.ID] = true
 	delete(t.blocked, job.ID)
-	c.log.Info().Str("job", job.ID).Str("account", job.Account).Str("state", string(state)).Str("detail", detail).
+	c.logger.Info().Str("job", job.ID).Str("account", job.Account).Str("state", string(state)).Str("detail", detail).
 		Msg("job ended")
 	c.appender.add(jobs.Record{Kind: jobs.RecordEnded, Ended: &jobs.Ended{Job: job.ID, Attempt: attempt, State: state,
 		Detail: detail, At: time.Now()}})
 }
 
+// removeGang removes an attempt. Its tasks that are still in the inventories are then stopped and forgotten.
 func (c *Control) removeGang(g *gang.Gang) {
 	t := c.tenure
 	id := g.Job().ID
 	delete(t.gangs, id)
 	delete(t.unsettled, id)
-	t.onWorker = nil
+	t.gangsByWorker = nil
 	delete(t.plannerAttempt, id)
 	delete(t.provisional, id)
 	for _, worker := range g.Workers() {
@@ -340,6 +348,7 @@
 	c.reportConditions(t.planner.Conditions())
 }
 
+// stopAttempt carries out a planned stop unless the attempt has been replaced.
 func (c *Control) stopAttempt(stop scheduler.Stop, now time.Time) {
 	g := c.tenure.gangs[stop.Job]
 	if g == nil || c.tenure.plannerAttempt[stop.Job] != stop.Attempt {
@@ -353,6 +362,8 @@
 	c.stepGang(g, now)
 }
 
+// startAttempt creates the gang for a planned start. If the job is not known, has ended, was cancelled or has an attempt, it
+// reports to the planner that the start was not carried out.
 func (c *Control) startAttempt(ctx context.Context, start scheduler.Start, now time.Time) {
 	t := c.tenure
 	id := start.Job.ID
@@ -370,18 +381,19 @@
 	attempt := t.epoch*attemptsPerTenure + start.Attempt%attemptsPerTenure
 	g := gang.New(start.Job, attempt, start.Placement, resumeFrom, start.Job.RunOnce && !c.logAvailable(), now)
 	t.gangs[id] = g
-	t.onWorker = nil
+	t.gangsByWorker = nil
 	t.plannerAttempt[id] = start.Attempt
 	_, span := otel.Tracer("redwingthread/control").Start(ctx, "start attempt", trace.WithAttributes(
 		attribute.String("job", id), attribute.String("account", start.Job.Account),
 		attribute.String("failure_domain", c.FailureDomain), attribute.Int64("attempt", int64(attempt))))
 	t.startSpans[id] = startSpan{span: span, since: now}
-	c.log.Info().Str("job", id).Str("account", start.Job.Account).Uint64("attempt", attempt).
+	c.logger.Info().Str("job", id).Str("account", start.Job.Account).Uint64("attempt", attempt).
 		Strs("workers", start.Placement).Bool("borrowed", start.Borrowed).Msg("attempt started")
 	c.stepGang(g, now)
 }
 
-// snapshot queues a snapshot of the job stream if one is due.
+// snapshot queues a snapshot of the job stream if one is due: after the number of records or the interval above, or if records
+// expired before this process had read them and this tenure has not queued a snapshot yet.
 func (c *Control) snapshot(now time.Time) {
 	due := c.fold.SinceSnapshot() >= c.SnapshotRecords || (!c.fold.Complete() && !c.tenure.snapshotQueued)
 	if c.fold.Next() > 0 && now.Sub(c.lastSnapshotAt) >= snapshotInterval {
