--- a/gang/gang.go
+++ b/gang/gang.go
@@ -20,9 +20,9 @@
 
 // Bounds of an attempt.
 const (
-	// TaskLease is the length of a task lease. A worker stops a task whose lease is not renewed within this time.
+	// TaskLease is the length of a task lease. A worker stops a task whose lease was not renewed within this time.
 	TaskLease = 30 * time.Second
-	// ReservationTTL is the lifetime of a reservation whose task is not started.
+	// ReservationTTL is the time after which a reservation expires if its task is not started.
 	ReservationTTL = 10 * time.Second
 	// ReserveBound limits the time until all members are reserved.
 	ReserveBound = 3 * time.Second
@@ -36,7 +36,7 @@
 	LossCheckpointBound = 5 * time.Second
 	// StopBound limits the time until the members on reachable workers have stopped, including their checkpoints.
 	StopBound = LossCheckpointBound + 5*time.Second
-	// DifferBound limits the time during which some members run while others do not.
+	// DifferBound limits the time during which some members of a gang run while others do not.
 	DifferBound = TaskLease + StopBound
 	// repeatInterval is the time after which an acknowledged command that has had no visible effect is sent again. It
 	// bounds the delay until a member is known to be resident, which is part of the 1.8 s that an urgent job has to start.
@@ -48,7 +48,7 @@
 
 // The phases of an attempt.
 const (
-	// PhaseAwaitingLog delays a run-once attempt before its reservation while the log is known to be down.
+	// PhaseAwaitingLog delays a run-once attempt before its reservations while the log is known to be unavailable.
 	PhaseAwaitingLog Phase = "wait_log"
 	PhaseReserving   Phase = "reserving"
 	PhaseStarting    Phase = "starting"
@@ -64,27 +64,33 @@
 const (
 	// stateNone marks a member that its worker does not know yet.
 	stateNone infra.TaskState = ""
-	// stateGone marks a member whose worker restarted, or whose task lease must have expired.
+	// stateGone marks a member whose task can no longer run, since its worker restarted or lost the task, or its task lease
+	// must have expired.
 	stateGone infra.TaskState = "gone"
 	// stateUnseen marks a member of an adopted gang that no inventory has shown yet.
 	stateUnseen infra.TaskState = "unseen"
 )
 
 type member struct {
-	worker     string
-	state      infra.TaskState
+	// worker is empty while the member of an adopted gang is unseen.
+	worker string
+	state  infra.TaskState
+	// checkpoint is the last checkpoint that the worker reported; empty if there is none.
 	checkpoint string
-	detail     string
-	// ackOp and ackAt are the operation of the last acknowledged command and the time of the acknowledgement.
+	// detail is the reason of a failure.
+	detail string
+	// ackOp and ackAt are the operation of the last command that the worker accepted or rejected, and the time at which its
+	// result was recorded.
 	ackOp infra.Op
 	ackAt time.Time
 }
 
-// inactive reports whether the member occupies no resources: it is not reserved yet, gone or ended.
+// inactive reports whether the member uses no resources, because it is not reserved yet, is gone or has ended.
 func (m *member) inactive() bool {
 	return m.state == stateNone || m.state == stateGone || m.state.Ended()
 }
 
+// running reports whether the member has been released and has not ended. That includes the time of a checkpoint.
 func (m *member) running() bool {
 	return m.state == infra.TaskRunning || m.state == infra.TaskCheckpointing
 }
@@ -100,21 +106,22 @@
 	attempt uint64
 	phase   Phase
 	members []member
-	// resumeFrom holds the checkpoint from which each member starts; empty for a fresh start.
+	// resumeFrom holds the checkpoint from which each member starts; empty for a start without checkpoints.
 	resumeFrom []string
 	// deadline is the end of the current phase; zero if the phase has no bound.
 	deadline time.Time
-	// released is set once a release may have been sent, by this or a previous lease holder.
+	// released is set once a release may have been sent, by this or a previous holder.
 	released bool
 	// intentWon is set once the log shows that the intent of this attempt won.
 	intentWon bool
-	// result is set when the gang stops or ends.
+	// result says how the attempt ends. It is set when a stop begins and is final in PhaseEnded.
 	result scheduler.Result
-	// checkpointMS limits the checkpoints of the stop in progress; 0 stops without checkpoints.
+	// checkpointMS limits the duration of the checkpoints of a stop; 0 if members stop without a checkpoint.
 	checkpointMS int64
-	stopping     bool
-	// planned is set if the stop was requested rather than caused by a loss or failure.
-	planned bool
+	// stopping is set once a stop has begun and stays set in PhaseEnded.
+	stopping bool
+	// stopRequested is set if Stop began the stop, rather than a loss, a failure or a timeout.
+	stopRequested bool
 	// divergedSince is the time since which only some members run; zero if all or none do.
 	divergedSince time.Time
 }
@@ -123,8 +130,8 @@
 // not started again.
 const DoneCheckpoint = "done"
 
-// New returns an attempt at a job on a placement. With awaitLog it starts in PhaseAwaitingLog. resumeFrom holds the
-// checkpoint from which each member continues; nil for a fresh start.
+// New returns an attempt at a job on a placement. It starts in PhaseAwaitingLog if awaitLog is set, else in PhaseReserving.
+// resumeFrom holds the checkpoint from which each member continues; nil for a start without checkpoints.
 func New(job jobs.Job, attempt uint64, placement scheduler.Placement, resumeFrom []string, awaitLog bool, now time.Time) *Gang {
 	g := &Gang{job: job, attempt: attempt, resumeFrom: resumeFrom}
 	for i, worker := range placement {
@@ -141,9 +148,9 @@
 	return g
 }
 
-// Adopt returns an attempt that a previous lease holder started. Its members are unseen until they are observed. intentWon
-// says whether the intent of this attempt is the winner in the log. resumeFrom holds the checkpoint from which each member
-// of the attempt continued; nil for a fresh start.
+// Adopt returns an attempt that a previous holder started, in PhaseRunning. Its members are unseen until they are observed.
+// intentWon says whether the log shows that the intent of this attempt won. resumeFrom holds the checkpoint from which each
+// member of the attempt started; nil for a start without checkpoints.
 func Adopt(job jobs.Job, attempt uint64, resumeFrom []string, intentWon bool) *Gang {
 	g := &Gang{job: job, attempt: attempt, resumeFrom: resumeFrom, phase: PhaseRunning, intentWon: intentWon, released: intentWon}
 	g.members = make([]member, job.Shape.Members)
@@ -165,7 +172,7 @@
 // Phase returns the current phase.
 func (g *Gang) Phase() Phase { return g.phase }
 
-// Released reports whether a release may have been sent, so that a member may have run.
+// Released reports whether a release may have been sent, so that members may have run.
 func (g *Gang) Released() bool { return g.released }
 
 // Result returns how the attempt ended. It is valid in PhaseEnded.
@@ -185,8 +192,8 @@
 	return g.any(func(m *member) bool { return m.state == stateUnseen })
 }
 
-// Planned reports whether Stop requested the end of the attempt.
-func (g *Gang) Planned() bool { return g.planned }
+// Planned reports whether the attempt stops or has ended because of Stop, rather than a loss, a failure or a timeout.
+func (g *Gang) Planned() bool { return g.stopRequested }
 
 // Checkpoints returns the checkpoint of each member, with DoneCheckpoint for completed members. It returns nil if any
 // other member has no checkpoint.
@@ -218,7 +225,7 @@
 	return jobs.StateStarting
 }
 
-// Reason returns one line that says what the attempt is waiting for; empty while it runs.
+// Reason returns one line that says what the attempt is waiting for; empty while it runs and after its end.
 func (g *Gang) Reason() string {
 	switch g.phase {
 	case PhaseAwaitingLog:
@@ -252,6 +259,7 @@
 	return g.phase != PhaseEnded && (!g.stopping || g.checkpointMS > 0)
 }
 
+// enterPhase changes the phase. A bound of 0 means that the phase has no time limit.
 func (g *Gang) enterPhase(phase Phase, bound time.Duration, now time.Time) {
 	g.phase = phase
 	g.deadline = time.Time{}
@@ -273,7 +281,7 @@
 	return !g.all(func(m *member) bool { return !ok(m) })
 }
 
-// checkDivergence asserts P2: a gang runs partially for at most DifferBound. Completed members do not count, since the
+// checkDivergence asserts invariant.GangAllOrNothing: only some members run for at most DifferBound. Completed members do not count, since the
 // tasks of a gang may end at different times. Neither do unseen members, whose state is not known yet.
 func (g *Gang) checkDivergence(now time.Time) {
 	anyRunning := g.any((*member).running)
--- a/gang/gang_test.go
+++ b/gang/gang_test.go
@@ -20,15 +20,17 @@
 	g     *Gang
 	now   time.Time
 	tasks []infra.Task
-	// dead, lossy and rejects are keyed by member index. Commands to a lossy member take effect but the responses are lost.
-	dead, lossy map[int]bool
-	rejects     map[int]infra.Op
-	sent        map[infra.Op]int
+	// dead, responsesLost and rejects are keyed by member index. The worker of a dead member ignores all commands. With
+	// responsesLost, commands take effect but the responses are lost. rejects holds the operation that the worker rejects.
+	dead, responsesLost map[int]bool
+	rejects             map[int]infra.Op
+	// sent counts the commands that reached a worker.
+	sent map[infra.Op]int
 }
 
 func newCluster(t *testing.T, job jobs.Job) *cluster {
 	c := &cluster{t: t, now: time.Unix(1000, 0), tasks: make([]infra.Task, memberCount), dead: map[int]bool{},
-		lossy: map[int]bool{}, rejects: map[int]infra.Op{}, sent: map[infra.Op]int{}}
+		responsesLost: map[int]bool{}, rejects: map[int]infra.Op{}, sent: map[infra.Op]int{}}
 	job.ID, job.Run = "a", []string{"run"}
 	job.Shape = resource.Shape{Members: memberCount, PerMember: resource.Resources{MilliCPU: 1}}
 	c.g = New(job, 1, scheduler.Placement{"w-0", "w-1", "w-2"}, nil, false, c.now)
@@ -52,7 +54,7 @@
 				c.apply(i, command)
 			}
 		}
-		if c.lossy[i] {
+		if c.responsesLost[i] {
 			continue
 		}
 		c.observe(i)
@@ -121,7 +123,8 @@
 	t.Cleanup(restore)
 }
 
-// TestWorkerDeathAtEachStep guards against a gang whose other members keep running after the worker of one member died.
+// TestWorkerDeathAtEachStep guards against a gang whose other members stay held or running after the worker of one member
+// died, and against a result that counts a loss before the release as one of a running job.
 func TestWorkerDeathAtEachStep(t *testing.T) {
 	failOnViolation(t)
 	cases := map[Phase]scheduler.ResultKind{PhaseReserving: scheduler.ResultNotStarted, PhaseStarting: scheduler.ResultNotStarted,
@@ -148,7 +151,8 @@
 	}
 }
 
-// TestRefusalAtEachStep guards against a gang that runs without a member whose worker rejected a command.
+// TestRefusalAtEachStep guards against a gang that runs although a worker rejects a command for one member, and against a
+// result that does not name this worker.
 func TestRefusalAtEachStep(t *testing.T) {
 	failOnViolation(t)
 	for _, op := range []infra.Op{infra.OpReserve, infra.OpStart, infra.OpRelease} {
@@ -157,7 +161,7 @@
 			c.rejects[2] = op
 			c.stepUntil(PhaseEnded)
 			if c.g.Result().Kind == scheduler.ResultCompleted || len(c.g.Result().Workers) != 1 || c.g.Result().Workers[0] != "w-2" {
-				t.Fatalf("result %+v", c.g.Result())
+				t.Fatalf("result %+v, want an attempt that was not completed because of w-2", c.g.Result())
 			}
 		})
 	}
@@ -170,20 +174,20 @@
 	c := newCluster(t, jobs.Job{})
 	for _, phase := range []Phase{PhaseReserving, PhaseStarting, PhaseReleasing} {
 		c.stepUntil(phase)
-		c.lossy[1] = true
+		c.responsesLost[1] = true
 		for range 10 {
 			c.step()
 		}
 		if c.g.Phase() != phase {
 			t.Fatalf("phase %s ended although the responses of member 1 were lost", phase)
 		}
-		c.lossy[1] = false
+		c.responsesLost[1] = false
 	}
 	c.stepUntil(PhaseRunning)
 }
 
 // TestUnconfirmedReleaseEndsWithinBound guards against a gang that runs partially for longer than the release bound and
-// the stop bound because one worker rejects the release.
+// the stop bound, or does not end as lost, because one worker rejects the release.
 func TestUnconfirmedReleaseEndsWithinBound(t *testing.T) {
 	failOnViolation(t)
 	c := newCluster(t, jobs.Job{CanCheckpoint: true})
@@ -193,7 +197,7 @@
 	c.stepUntil(PhaseEnded)
 	// The simulated workers stop their tasks at once, so only the release bound and two steps may pass.
 	if took := c.now.Sub(start); took > ReleaseBound+200*time.Millisecond || c.g.Result().Kind != scheduler.ResultLost {
-		t.Fatalf("ended after %s with result %+v", took, c.g.Result())
+		t.Fatalf("ended after %s with result %+v, want the result lost soon after the release bound", took, c.g.Result())
 	}
 }
 
@@ -214,8 +218,8 @@
 	c.stepUntil(PhaseEnded)
 }
 
-// TestRunOnceIsReleasedOnlyAfterItsIntentWins guards against the release of a run-once job before its intent is read back
-// or after another intent won.
+// TestRunOnceIsReleasedOnlyAfterItsIntentWins guards against the release of a run-once job before its intent is read back,
+// after another intent won, or during an outage of the log.
 func TestRunOnceIsReleasedOnlyAfterItsIntentWins(t *testing.T) {
 	cases := map[string]struct {
 		event func(*Gang)
@@ -273,7 +277,7 @@
 }
 
 // TestDoneMemberIsNotStartedAgain guards against a second run of a member that had completed before a checkpointed stop of
-// its gang.
+// its gang, and against such a stop that does not count as checkpointed.
 func TestDoneMemberIsNotStartedAgain(t *testing.T) {
 	c := newCluster(t, jobs.Job{RunOnce: true, CanCheckpoint: true})
 	c.g.IntentWon()
@@ -284,18 +288,19 @@
 	c.stepUntil(PhaseEnded)
 	from := c.g.Checkpoints()
 	if c.g.Result().Kind != scheduler.ResultStopped || !c.g.Result().Checkpointed || from[1] != DoneCheckpoint {
-		t.Fatalf("result %+v, checkpoints %v", c.g.Result(), from)
+		t.Fatalf("result %+v with checkpoints %v, want a checkpointed stop with member 1 done", c.g.Result(), from)
 	}
 	c.tasks = make([]infra.Task, memberCount)
 	c.g = New(c.g.job, 2, c.g.Placement(), from, false, c.now)
 	c.g.IntentWon()
 	c.stepUntil(PhaseRunning)
 	if c.tasks[1].State != "" || c.tasks[0].State != infra.TaskRunning {
-		t.Fatalf("tasks %+v", c.tasks)
+		t.Fatalf("tasks %+v, want member 0 running and member 1 not started", c.tasks)
 	}
 }
 
-// TestAdoptedGangIsWholeOrStopped guards against a takeover after which an adopted gang stays partially released.
+// TestAdoptedGangIsWholeOrStopped guards against a takeover after which an adopted gang stays partially released, and against
+// one that stops a complete gang.
 func TestAdoptedGangIsWholeOrStopped(t *testing.T) {
 	held, running, done := infra.TaskHeld, infra.TaskRunning, infra.TaskDone
 	cases := map[string]struct {
@@ -333,8 +338,8 @@
 	}
 }
 
-// TestAssertionNoticesPartialGang guards against an assertion of P2 that never records a violation, and against one that
-// does so within DifferBound.
+// TestAssertionNoticesPartialGang guards against an assertion of invariant.GangAllOrNothing that never records a violation,
+// and against one that records a violation within DifferBound.
 func TestAssertionNoticesPartialGang(t *testing.T) {
 	var log invariant.Log
 	defer invariant.SetRecorder(log.Record)()
--- a/gang/step.go
+++ b/gang/step.go
@@ -9,8 +9,8 @@
 	"github.com/redwingthread/redwingthread/scheduler"
 )
 
-// Observe records the state of a member that a worker's inventory shows. It ignores a member that was placed on another
-// worker or is already gone.
+// Observe records the state of a member's task in the inventory of a worker. It ignores the task of a member that was placed
+// on another worker or is already gone.
 func (g *Gang) Observe(index int, worker string, task infra.Task) {
 	if index < 0 || index >= len(g.members) {
 		return
@@ -32,8 +32,9 @@
 	}
 }
 
-// ObserveMissing records that a worker's inventory lacks every member for which seen is false. A missing member counts as
-// lost if the worker restarted or if the member was resident.
+// ObserveMissing records that the inventory of a worker lacks every member that was placed on it and for which seen is false.
+// If the worker restarted, such a member is gone unless it had completed. Otherwise a member that has ended or that the worker does not know yet keeps
+// its state, a reserved member is reserved again in PhaseReserving, and any other is gone.
 func (g *Gang) ObserveMissing(worker string, restarted bool, seen func(index int) bool) {
 	for i := range g.members {
 		m := &g.members[i]
@@ -72,7 +73,7 @@
 	}
 }
 
-// Acknowledged records that a worker accepted a command.
+// Acknowledged records that a worker accepted a command for the member with this index.
 func (g *Gang) Acknowledged(index int, op infra.Op, now time.Time) {
 	if index < 0 || index >= len(g.members) {
 		return
@@ -81,7 +82,8 @@
 	g.members[index].ackAt = now
 }
 
-// Rejected records that a worker rejected a command. The inventory that came with the rejection must be observed first.
+// Rejected records that a worker rejected a command. It stops the attempt if the command was a reservation or a start that
+// the member still needs. The inventory that came with the rejection must be observed first.
 func (g *Gang) Rejected(index int, op infra.Op, reason string, now time.Time) {
 	if index < 0 || index >= len(g.members) {
 		return
@@ -96,7 +98,7 @@
 	}
 }
 
-// LogAvailable records that the log responds, which ends PhaseAwaitingLog.
+// LogAvailable records that the log is available, which ends PhaseAwaitingLog.
 func (g *Gang) LogAvailable(now time.Time) {
 	if g.phase == PhaseAwaitingLog {
 		g.enterPhase(PhaseReserving, ReserveBound, now)
@@ -106,7 +108,7 @@
 // NeedsIntent reports whether the attempt is waiting for its intent in the log.
 func (g *Gang) NeedsIntent() bool { return g.phase == PhaseAwaitingIntent }
 
-// IntentWon records that the intent of this attempt won: it is the first valid one of the job in the log.
+// IntentWon records that the intent of this attempt won, because it is the first valid one of the job in the log.
 func (g *Gang) IntentWon() { g.intentWon = true }
 
 // IntentLost records that the attempt cannot win the intent, so it must not be released.
@@ -116,7 +118,8 @@
 	}
 }
 
-// Stop requests a planned stop, with a checkpoint within bound if bound is positive.
+// Stop begins a planned stop unless a stop has begun. If bound is positive and the attempt may have been released, members
+// of a job that can checkpoint save a checkpoint within bound, at most TaskLease.
 func (g *Gang) Stop(detail string, bound time.Duration) {
 	if g.stopping || g.phase == PhaseEnded {
 		return
@@ -125,13 +128,15 @@
 	if !g.released {
 		kind = scheduler.ResultNotStarted
 	}
-	g.planned = true
+	g.stopRequested = true
 	g.stop(scheduler.Result{Kind: kind, Detail: detail}, bound)
 }
 
+// abort begins a stop without checkpoints.
 func (g *Gang) abort(result scheduler.Result) { g.stop(result, 0) }
 
-func (g *Gang) stop(result scheduler.Result, bound time.Duration) {
+// stop begins a stop with this result unless one has begun. checkpointBound limits the checkpoints; 0 stops without them.
+func (g *Gang) stop(result scheduler.Result, checkpointBound time.Duration) {
 	if g.stopping {
 		return
 	}
@@ -139,8 +144,8 @@
 	g.result = result
 	g.phase = PhaseStopping
 	g.deadline = time.Time{}
-	if g.job.CanCheckpoint && bound > 0 && g.released {
-		g.checkpointMS = min(bound, TaskLease).Milliseconds()
+	if g.job.CanCheckpoint && checkpointBound > 0 && g.released {
+		g.checkpointMS = min(checkpointBound, TaskLease).Milliseconds()
 	}
 }
 
@@ -251,7 +256,7 @@
 	g.enterPhase(PhaseReleasing, ReleaseBound, now)
 }
 
-// checkLoss stops the attempt if a member failed or was lost.
+// checkLoss stops the attempt if a member failed or was lost. It reports whether that is the case.
 func (g *Gang) checkLoss() bool {
 	hasFailed := func(m *member) bool { return m.state == infra.TaskFailed }
 	isLost := func(m *member) bool { return m.inactive() && m.state != infra.TaskDone && !hasFailed(m) }
@@ -271,6 +276,7 @@
 	return true
 }
 
+// failureDetail returns the detail of the first failed member; empty if none has failed.
 func (g *Gang) failureDetail() string {
 	for i := range g.members {
 		if g.members[i].state == infra.TaskFailed {
@@ -295,7 +301,7 @@
 	g.end(result)
 }
 
-// allCheckpointed reports whether every member has completed or has a newer checkpoint than the one it started from.
+// allCheckpointed reports whether every member has completed or has another checkpoint than the one it started from.
 func (g *Gang) allCheckpointed() bool {
 	if g.Checkpoints() == nil {
 		return false
@@ -309,6 +315,7 @@
 	return true
 }
 
+// end ends the attempt. A run-once job that may have run and was neither completed nor checkpointed ends as unknown.
 func (g *Gang) end(result scheduler.Result) {
 	if g.job.RunOnce && g.released && result.Kind == scheduler.ResultLost && !result.Checkpointed {
 		result.Kind = scheduler.ResultUnknown
@@ -321,6 +328,7 @@
 	g.deadline = time.Time{}
 }
 
+// workersOf returns the distinct workers of the members for which ok is true.
 func (g *Gang) workersOf(ok func(*member) bool) []string {
 	seen := map[string]bool{}
 	var workers []string
@@ -335,7 +343,7 @@
 }
 
 // Commands returns the commands that the members on a worker need now. It leaves out a command that the worker
-// acknowledged less than repeatInterval ago, since its effect may take time. A release that it returns counts as sent.
+// accepted or rejected less than repeatInterval ago, since its effect may take time. A release that it returns counts as sent.
 func (g *Gang) Commands(worker string, now time.Time) []infra.Command {
 	var commands []infra.Command
 	for i := range g.members {
@@ -357,8 +365,8 @@
 	return commands
 }
 
-// RepeatAt returns the earliest time at which an acknowledged command without visible effect is due again; zero if there
-// is none.
+// RepeatAt returns the earliest time at which a command that was accepted or rejected, but is still needed, is due again;
+// zero if there is none.
 func (g *Gang) RepeatAt() time.Time {
 	var at time.Time
 	for i := range g.members {
@@ -374,6 +382,7 @@
 	return at
 }
 
+// command returns the command that a member needs in the current phase, and whether there is one.
 func (g *Gang) command(index int) (infra.Command, bool) {
 	m := &g.members[index]
 	c := infra.Command{Attempt: g.ID(), Member: index}
@@ -407,7 +416,7 @@
 	return result.Kind != scheduler.ResultCompleted && result.Kind != scheduler.ResultUnknown
 }
 
-// FinalState returns the final state that the result of an attempt implies by itself; "" if the job may run again.
+// FinalState returns the final state of a job that follows from the result of an attempt; empty if the job may run again.
 // released says whether the attempt may have run.
 func FinalState(job jobs.Job, result scheduler.Result, released bool) jobs.State {
 	switch {
