--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -23,7 +23,7 @@
 	return lease.Response{Granted: granted, Epoch: g.epoch, Holder: g.holder, ExpiresIn: max(0, g.until.Sub(now))}
 }
 
-// The standby takes over after the active candidate has been frozen for longer than its lease.
+// The standby takes over after the active candidate has been frozen for longer than its leases.
 func ExampleCore() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	workers := map[string]*workerLease{"w-1": {}, "w-2": {}, "w-3": {}}
@@ -32,7 +32,7 @@
 	second.SetWorkers([]string{"w-1", "w-2", "w-3"}, now)
 
 	step := func(name string, c *lease.Core) {
-		requests, _ := c.Step(now, 0.5) // real callers pass a random number and step again at the returned time
+		requests, _ := c.Step(now, 0.5) // a real program passes a random number and steps again at the returned time
 		for _, s := range requests {
 			c.RequestSent(s.Worker, now)
 			c.ApplyResponse(s.Worker, s.Kind, s.Epoch, now, workers[s.Worker].handle(name, s, now), now)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -2,8 +2,8 @@
 //
 // Each worker grants its lease to one holder at a time, with increasing epochs. A scheduler is active while it holds the
 // leases of a majority of the workers that are configured in the failure domain. It computes the expiry of a lease
-// conservatively, from the time at which it sent the request. Workers reject older epochs, so a holder whose clock is wrong
-// does no harm.
+// conservatively, from the time at which it sent the request. Workers reject older epochs, so the commands of a holder whose
+// clock is wrong have no effect after another holder has taken over.
 //
 // The package has no I/O, clock or goroutines. A Core is not safe for concurrent use.
 package lease
@@ -30,7 +30,7 @@
 	// RelinquishLength is the lease length of a request that relinquishes the lease. The worker contract has no request for
 	// it, so the lease is renewed with a length after which it expires at once.
 	RelinquishLength = time.Millisecond
-	// claimTimeout bounds the wait for the responses to a survey or a claim.
+	// claimTimeout limits the time for the responses to a survey or a claim.
 	claimTimeout = 1500 * time.Millisecond
 )
 
@@ -39,7 +39,7 @@
 
 // The phases of a candidate.
 const (
-	// PhaseStandby probes single workers until one has no unexpired lease.
+	// PhaseStandby probes single workers until one does not respond or has no unexpired lease.
 	PhaseStandby Phase = "standby"
 	// PhaseSurvey probes all workers to find out whether the leases of a majority are free. A claim without a survey would
 	// take workers from a holder that is cut off from only a few of them.
@@ -54,14 +54,14 @@
 
 // The request kinds.
 const (
-	// KindProbe reads the state of the lease without claiming it: epoch 0 is never granted.
+	// KindProbe reads the state of the lease without claiming it. Its epoch is 0, which is never granted.
 	KindProbe      Kind = "probe"
 	KindClaim      Kind = "claim"
 	KindRenew      Kind = "renew"
 	KindRelinquish Kind = "give_up"
 )
 
-// Request is a request that the caller has to send to a worker.
+// Request is a request that the user of a Core must send to a worker. Epoch and Length are 0 for a probe.
 type Request struct {
 	Worker string
 	Kind   Kind
@@ -69,7 +69,8 @@
 	Length time.Duration
 }
 
-// Response is the state of a lease as reported by its worker. Holder and Epoch are those of the last grant.
+// Response is the state of a lease as reported by its worker. Holder and Epoch are those of the last grant. ExpiresIn is the
+// time until the lease expires; 0 if it is free.
 type Response struct {
 	Granted   bool
 	Epoch     uint64
@@ -85,13 +86,16 @@
 	epoch uint64
 	// lastSent is the time at which the last request was sent.
 	lastSent time.Time
-	// requested and responded refer to the current probe, survey or claim.
+	// requested and responded are set once a request was sent and once a response arrived since the start of the current
+	// probe, survey or claim.
 	requested bool
 	responded bool
-	// freeAt is the time at which the lease of another holder expires, according to the last response that granted nothing.
+	// freeAt is the time at which the lease expires for its last holder, according to the last response that granted nothing.
+	// If this candidate was the last holder, it is the time of that response.
 	freeAt time.Time
 }
 
+// workerSet is a set of configured workers of which a majority is required.
 type workerSet struct {
 	ids []string
 	// expiresAt is the time from which a replaced set is ignored; zero for the current set.
@@ -100,25 +104,29 @@
 
 // Core is the state of one candidate.
 type Core struct {
+	// self is the holder name.
 	self  string
 	phase Phase
 	epoch uint64
 	// maxEpoch is the highest epoch that this candidate has used or any worker has reported.
 	maxEpoch uint64
-	sets     []workerSet
-	workers  map[string]*grant
+	// sets holds the replaced worker sets that are not ignored yet, followed by the current set.
+	sets []workerSet
+	// workers holds the state of the lease of each worker in sets by worker id.
+	workers map[string]*grant
 	// ids holds the keys of workers in sorted order.
 	ids []string
-	// quorum lists the workers that are renewed at RenewInterval.
+	// quorum holds the workers whose leases are renewed at RenewInterval.
 	quorum map[string]bool
 	// phaseStart is the start of the current phase.
 	phaseStart time.Time
 	// nextProbe is the time of the next probe or survey of a standby.
 	nextProbe time.Time
-	// nextSample is the position of the next worker to probe; 0 makes the standby survey all workers instead.
+	// nextSample is the position in ids, modulo its length, of the next worker to probe; 0 makes the standby survey all
+	// workers instead.
 	nextSample int
-	// collided is set when the last grant of a worker, now expired, was to another holder at the epoch of this candidate.
-	collided bool
+	// epochCollision is set if the last grant of a worker, now expired, was to another holder at the epoch of this candidate.
+	epochCollision bool
 }
 
 // New returns a standby with the holder name self. Each incarnation of a process must use another name.
@@ -138,7 +146,8 @@
 	return ok && now.Before(g.expiresAt)
 }
 
-// SetWorkers sets the configured workers. For SetChangeOverlap, a majority of the replaced set is required as well.
+// SetWorkers sets the ids of the configured workers. For SetChangeOverlap, a majority of the replaced set is required as
+// well.
 func (c *Core) SetWorkers(ids []string, now time.Time) {
 	next := append([]string(nil), ids...)
 	sort.Strings(next)
@@ -152,6 +161,7 @@
 	c.syncWorkers()
 }
 
+// syncWorkers adds and removes workers so that they match the sets.
 func (c *Core) syncWorkers() {
 	wanted := map[string]bool{}
 	for _, set := range c.sets {
@@ -193,6 +203,7 @@
 	}
 }
 
+// expireSets removes the replaced sets that are no longer required.
 func (c *Core) expireSets(now time.Time) {
 	kept := c.sets[:0]
 	changed := false
@@ -209,7 +220,8 @@
 	}
 }
 
-// majority reports whether ok holds for more than half of the workers in each of the sets.
+// majority reports whether ok is true for more than half of the workers in each of the sets. It is false while there is no
+// current set or the current set is empty.
 func (c *Core) majority(ok func(*grant) bool) bool {
 	if len(c.sets) == 0 || len(c.sets[len(c.sets)-1].ids) == 0 {
 		return false
@@ -228,15 +240,15 @@
 	return true
 }
 
-// Active reports whether the candidate certainly holds the leases of a majority at now. The caller must check it before
-// each command with a fresh now, since its process may have been paused.
+// Active reports whether the candidate certainly holds the leases of a majority at now. It must be checked before each
+// command with the current time, since the process may have been paused.
 func (c *Core) Active(now time.Time) bool {
 	return c.phase == PhaseActive && c.majority(func(g *grant) bool { return now.Before(g.expiresAt) })
 }
 
-// Confirmed reports whether a majority of leases is held and was granted at the current epoch. Commands must not be sent
-// before that: another candidate may claim with the epoch to which this holder has just raised its own, and only one of
-// the two gets a majority for it.
+// Confirmed reports whether the candidate certainly holds the leases of a majority at now and they were granted at the
+// current epoch. Commands must not be sent before that: another candidate may claim with the epoch to which this holder has
+// just raised its own, and only one of the two gets a majority for it.
 func (c *Core) Confirmed(now time.Time) bool {
 	return c.phase == PhaseActive && c.majority(func(g *grant) bool { return now.Before(g.expiresAt) && g.epoch == c.epoch })
 }
@@ -266,7 +278,7 @@
 		g.freeAt = now
 	}
 	if r.Holder != c.self && r.Epoch == c.epoch && r.ExpiresIn <= 0 {
-		c.collided = true
+		c.epochCollision = true
 	}
 	if kind == KindProbe && c.phase == PhaseStandby && g.freeAt.Before(c.nextProbe) {
 		c.nextProbe = g.freeAt
@@ -276,6 +288,7 @@
 	}
 }
 
+// applyGrant records the grant of a claim or renewal with the current epoch. It ignores all other grants.
 func (c *Core) applyGrant(g *grant, kind Kind, epoch uint64, sent time.Time) {
 	if epoch != c.epoch || kind == KindRelinquish || kind == KindProbe {
 		return
@@ -290,20 +303,23 @@
 }
 
 // RequestFailed records that a request got no response. The worker may have granted the lease nonetheless, so a candidate
-// that gives up its claim relinquishes this one as well. A lease that was granted earlier counts until it expires.
+// whose claim fails relinquishes this lease as well. A lease that was granted earlier counts until it expires.
 func (c *Core) RequestFailed(worker string) {
 	if g := c.workers[worker]; g != nil && c.phase != PhaseActive {
 		g.requested = true
 	}
 }
 
-// Relinquish returns the candidate to standby, and returns the requests that free the leases at once.
+// Relinquish makes the candidate a standby and returns the requests that make its leases expire at once. The standby waits
+// for Length before its next probe.
 func (c *Core) Relinquish(now time.Time) []Request {
 	requests := c.relinquishRequests()
 	c.becomeStandby(now, Length)
 	return requests
 }
 
+// relinquishRequests returns the requests that make the leases expire at once on all workers to which a request was sent since
+// the claim. It returns none for a standby and in a survey.
 func (c *Core) relinquishRequests() []Request {
 	var requests []Request
 	if c.phase != PhaseActive && c.phase != PhaseClaim {
@@ -317,6 +333,7 @@
 	return requests
 }
 
+// becomeStandby starts PhaseStandby with the first probe after wait.
 func (c *Core) becomeStandby(now time.Time, wait time.Duration) {
 	c.phase = PhaseStandby
 	c.phaseStart = now
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// workerLease simulates a worker that grants its lease.
+// workerLease simulates a worker that grants its lease to one holder at a time, with increasing epochs.
 type workerLease struct {
 	epoch  uint64
 	holder string
@@ -28,26 +28,27 @@
 	now     time.Time
 	workers map[string]*workerLease
 	cores   map[string]*Core
-	// partitioned is keyed by candidate or by candidate/worker pair, paused by candidate.
+	// partitioned holds the candidates, or candidate/worker pairs, whose requests are lost. paused holds the candidates that
+	// take no steps.
 	partitioned map[string]bool
 	paused      map[string]bool
 	random      *rand.Rand
 }
 
 func newSimulation(count int, seed uint64, names ...string) *simulation {
-	w := &simulation{now: time.Unix(1000, 0), workers: map[string]*workerLease{}, cores: map[string]*Core{}, partitioned: map[string]bool{},
+	sim := &simulation{now: time.Unix(1000, 0), workers: map[string]*workerLease{}, cores: map[string]*Core{}, partitioned: map[string]bool{},
 		paused: map[string]bool{}, random: rand.New(rand.NewPCG(seed, 1))}
 	for i := range count {
-		w.workers[fmt.Sprintf("w-%d", i)] = &workerLease{}
+		sim.workers[fmt.Sprintf("w-%d", i)] = &workerLease{}
 	}
 	for _, name := range names {
-		w.cores[name] = New(name)
-		w.cores[name].SetWorkers(w.ids(count), w.now)
+		sim.cores[name] = New(name)
+		sim.cores[name].SetWorkers(sim.ids(count), sim.now)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) ids(count int) (ids []string) {
+func (sim *simulation) ids(count int) (ids []string) {
 	for i := range count {
 		ids = append(ids, fmt.Sprintf("w-%d", i))
 	}
@@ -56,34 +57,34 @@
 
 // run advances the time by d. It returns the largest number of candidates that were active at once and the number of
 // requests that were sent.
-func (w *simulation) run(d time.Duration) (maxActive, sent int) {
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(50 * time.Millisecond) {
-		for name, c := range w.cores {
-			if w.paused[name] {
+func (sim *simulation) run(d time.Duration) (maxActive, sent int) {
+	for end := sim.now.Add(d); sim.now.Before(end); sim.now = sim.now.Add(50 * time.Millisecond) {
+		for name, c := range sim.cores {
+			if sim.paused[name] {
 				continue
 			}
-			requests, _ := c.Step(w.now, w.random.Float64())
+			requests, _ := c.Step(sim.now, sim.random.Float64())
 			// Candidates send to the workers in different orders, so that simultaneous claims split the workers.
-			w.random.Shuffle(len(requests), func(i, k int) { requests[i], requests[k] = requests[k], requests[i] })
+			sim.random.Shuffle(len(requests), func(i, k int) { requests[i], requests[k] = requests[k], requests[i] })
 			for _, s := range requests {
 				sent++
-				c.RequestSent(s.Worker, w.now)
-				g := w.workers[s.Worker]
-				if g == nil || w.partitioned[name] || w.partitioned[name+"/"+s.Worker] {
+				c.RequestSent(s.Worker, sim.now)
+				g := sim.workers[s.Worker]
+				if g == nil || sim.partitioned[name] || sim.partitioned[name+"/"+s.Worker] {
 					c.RequestFailed(s.Worker)
 					continue
 				}
-				c.ApplyResponse(s.Worker, s.Kind, s.Epoch, w.now, g.handle(name, s, w.now), w.now)
+				c.ApplyResponse(s.Worker, s.Kind, s.Epoch, sim.now, g.handle(name, s, sim.now), sim.now)
 			}
 		}
-		maxActive = max(maxActive, len(w.active()))
+		maxActive = max(maxActive, len(sim.active()))
 	}
 	return maxActive, sent
 }
 
-func (w *simulation) active() (names []string) {
-	for name, c := range w.cores {
-		if c.Active(w.now) {
+func (sim *simulation) active() (names []string) {
+	for name, c := range sim.cores {
+		if c.Active(sim.now) {
 			names = append(names, name)
 		}
 	}
@@ -91,35 +92,35 @@
 }
 
 // TestCandidatesConverge guards against candidates that start at the same time and keep splitting the workers, so that none
-// gets a majority.
+// gets a majority, and against several that are active at once.
 func TestCandidatesConverge(t *testing.T) {
 	for seed := range uint64(50) {
-		w := newSimulation(7, seed, "a", "b", "c")
-		most, _ := w.run(15 * time.Second)
-		if len(w.active()) != 1 || most > 1 {
-			t.Fatalf("seed %d: active %v, at most %d at once", seed, w.active(), most)
+		sim := newSimulation(7, seed, "a", "b", "c")
+		most, _ := sim.run(15 * time.Second)
+		if len(sim.active()) != 1 || most > 1 {
+			t.Fatalf("seed %d: active %v, at most %d at once; want one", seed, sim.active(), most)
 		}
 	}
 }
 
-// TestTakeover guards against a takeover from a live holder, and against one that takes much longer than the holder lease
-// after a crash.
+// TestTakeover guards against a takeover from a live holder, against one that takes much longer than the holder lease after a
+// crash, and against a holder that still reports after a pause that it is active.
 func TestTakeover(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newSimulation(9, seed, "a", "b")
-		w.run(10 * time.Second)
-		first := w.active()[0]
-		w.run(60 * time.Second)
-		if got := w.active(); len(got) != 1 || got[0] != first {
+		sim := newSimulation(9, seed, "a", "b")
+		sim.run(10 * time.Second)
+		first := sim.active()[0]
+		sim.run(60 * time.Second)
+		if got := sim.active(); len(got) != 1 || got[0] != first {
 			t.Fatalf("seed %d: %v took over from the live holder %s", seed, got, first)
 		}
-		w.paused[first] = true
-		w.run(Length + 500*time.Millisecond)
-		if got := w.active(); len(got) != 1 || got[0] == first {
-			t.Fatalf("seed %d: active %v after the crash of %s", seed, got, first)
+		sim.paused[first] = true
+		sim.run(Length + 500*time.Millisecond)
+		if got := sim.active(); len(got) != 1 || got[0] == first {
+			t.Fatalf("seed %d: active %v after the crash of %s, want the other candidate", seed, got, first)
 		}
 		// The paused holder must find its lease expired before it sends a command.
-		if w.cores[first].Active(w.now) || w.cores[first].Confirmed(w.now) {
+		if sim.cores[first].Active(sim.now) || sim.cores[first].Confirmed(sim.now) {
 			t.Fatalf("seed %d: the paused holder still reports that it is active", seed)
 		}
 	}
@@ -127,35 +128,35 @@
 
 // TestRelinquishFreesWorkers guards against a planned stop after which the standby has to wait for the leases to expire.
 func TestRelinquishFreesWorkers(t *testing.T) {
-	w := newSimulation(9, 1, "a", "b")
-	w.run(10 * time.Second)
-	first := w.active()[0]
-	for _, s := range w.cores[first].Relinquish(w.now) {
-		w.workers[s.Worker].handle(first, s, w.now)
+	sim := newSimulation(9, 1, "a", "b")
+	sim.run(10 * time.Second)
+	first := sim.active()[0]
+	for _, s := range sim.cores[first].Relinquish(sim.now) {
+		sim.workers[s.Worker].handle(first, s, sim.now)
 	}
-	w.paused[first] = true
-	w.run(ProbeInterval + 500*time.Millisecond)
-	if got := w.active(); len(got) != 1 || got[0] == first {
-		t.Fatalf("active %v soon after %s relinquished its leases", got, first)
+	sim.paused[first] = true
+	sim.run(ProbeInterval + 500*time.Millisecond)
+	if got := sim.active(); len(got) != 1 || got[0] == first {
+		t.Fatalf("active %v soon after %s relinquished its leases, want the other candidate", got, first)
 	}
 }
 
-// TestMinorityPartitionKeepsHolder guards against a standby that claims workers of a holder that is cut off from a minority
-// of them.
+// TestMinorityPartitionKeepsHolder guards against a standby that claims workers or becomes active because the holder cannot
+// reach a minority of the workers.
 func TestMinorityPartitionKeepsHolder(t *testing.T) {
-	w := newSimulation(9, 1, "a", "b")
-	w.run(10 * time.Second)
-	first := w.active()[0]
+	sim := newSimulation(9, 1, "a", "b")
+	sim.run(10 * time.Second)
+	first := sim.active()[0]
 	for i := range 4 {
-		w.partitioned[fmt.Sprintf("%s/w-%d", first, i)] = true
+		sim.partitioned[fmt.Sprintf("%s/w-%d", first, i)] = true
 	}
 	for range 30 {
-		w.run(time.Second)
-		if got := w.active(); len(got) != 1 || got[0] != first {
+		sim.run(time.Second)
+		if got := sim.active(); len(got) != 1 || got[0] != first {
 			t.Fatalf("active %v, want %s", got, first)
 		}
 	}
-	for id, g := range w.workers {
+	for id, g := range sim.workers {
 		if g.holder != first {
 			t.Fatalf("worker %s was claimed by %s", id, g.holder)
 		}
@@ -165,42 +166,42 @@
 // TestWorkerSetChangeKeepsOneActive guards against two active schedulers while the configured workers are replaced and the
 // candidates see the change at different times.
 func TestWorkerSetChangeKeepsOneActive(t *testing.T) {
-	w := newSimulation(10, 1, "a", "b")
-	for _, c := range w.cores {
-		c.SetWorkers(w.ids(5), w.now)
+	sim := newSimulation(10, 1, "a", "b")
+	for _, c := range sim.cores {
+		c.SetWorkers(sim.ids(5), sim.now)
 	}
-	w.run(20 * time.Second)
-	first := w.active()[0]
+	sim.run(20 * time.Second)
+	first := sim.active()[0]
 	next := []string{"w-5", "w-6", "w-7", "w-8", "w-9"}
 	// The other candidate sees the change first and must not become active on the new workers alone.
-	for name, c := range w.cores {
+	for name, c := range sim.cores {
 		if name != first {
-			c.SetWorkers(next, w.now)
+			c.SetWorkers(next, sim.now)
 		}
 	}
-	if most, _ := w.run(4 * time.Second); most != 1 {
-		t.Fatalf("%d active during the change", most)
+	if most, _ := sim.run(4 * time.Second); most != 1 {
+		t.Fatalf("%d active at once during the change, want 1", most)
 	}
-	w.cores[first].SetWorkers(next, w.now)
-	if most, _ := w.run(SetChangeOverlap + 10*time.Second); most != 1 || len(w.active()) != 1 {
-		t.Fatalf("%d active at once, then %v", most, w.active())
+	sim.cores[first].SetWorkers(next, sim.now)
+	if most, _ := sim.run(SetChangeOverlap + 10*time.Second); most != 1 || len(sim.active()) != 1 {
+		t.Fatalf("%d active at once, then %v; want one", most, sim.active())
 	}
 }
 
 // TestStandbyProbeRateIsBounded guards against a standby whose request rate grows with the number of workers, here because
 // one of them is down.
 func TestStandbyProbeRateIsBounded(t *testing.T) {
-	w := newSimulation(120, 1, "a", "b")
-	w.run(10 * time.Second)
-	delete(w.workers, "w-3")
-	_, both := w.run(60 * time.Second)
+	sim := newSimulation(120, 1, "a", "b")
+	sim.run(10 * time.Second)
+	delete(sim.workers, "w-3")
+	_, both := sim.run(60 * time.Second)
 	standby := "a"
-	if w.active()[0] == "a" {
+	if sim.active()[0] == "a" {
 		standby = "b"
 	}
-	w.paused[standby] = true
-	_, holder := w.run(60 * time.Second)
+	sim.paused[standby] = true
+	_, holder := sim.run(60 * time.Second)
 	if perMinute := both - holder; perMinute > 150 {
-		t.Fatalf("the standby made %d requests in a minute", perMinute)
+		t.Fatalf("the standby made %d requests in a minute, want at most 150", perMinute)
 	}
 }
--- a/lease/step.go
+++ b/lease/step.go
@@ -20,6 +20,7 @@
 	return requests, c.nextStep(now)
 }
 
+// nextStep returns the time at which Step must be called again if there is no event before.
 func (c *Core) nextStep(now time.Time) time.Time {
 	switch c.phase {
 	case PhaseStandby:
@@ -47,8 +48,8 @@
 	return SpareRenewInterval
 }
 
-// due returns the time of the next renewal. If another holder had the lease of a worker at the time of the claim, the
-// lease is requested again as soon as it expires there, since the worker's inventory is needed before planning.
+// due returns the time of the next renewal of a lease. If another holder had the lease at the time of the claim, it is
+// requested again as soon as it expires, since the worker's inventory is needed before planning.
 func (c *Core) due(worker string, g *grant) time.Time {
 	due := g.lastSent.Add(c.renewInterval(worker))
 	if g.expiresAt.IsZero() && g.freeAt.After(g.lastSent) && g.freeAt.Before(due) {
@@ -58,7 +59,7 @@
 }
 
 // stepStandby probes one worker after the other. It starts a survey if the last probed worker did not respond or its lease
-// is free, and if there was no probe yet.
+// is free, or if nextSample is 0.
 func (c *Core) stepStandby(now time.Time) []Request {
 	if now.Before(c.nextProbe) || len(c.workers) == 0 {
 		if len(c.workers) == 0 {
@@ -76,6 +77,7 @@
 	return c.survey(ids, now)
 }
 
+// probeNext returns the probe of the next worker in ids.
 func (c *Core) probeNext(ids []string, now time.Time) []Request {
 	id := ids[c.nextSample%len(ids)]
 	c.nextSample++
@@ -84,6 +86,7 @@
 	return []Request{{Worker: id, Kind: KindProbe}}
 }
 
+// survey starts PhaseSurvey and returns the probes of all workers.
 func (c *Core) survey(ids []string, now time.Time) []Request {
 	c.phase = PhaseSurvey
 	c.phaseStart = now
@@ -95,7 +98,8 @@
 	return requests
 }
 
-// stepSurvey starts a claim as soon as the leases of a majority are known to be free.
+// stepSurvey starts a claim as soon as the leases of a majority are known to be free. Once all workers have responded or
+// claimTimeout has passed without that, it returns to standby.
 func (c *Core) stepSurvey(now time.Time, jitter float64) []Request {
 	free := func(g *grant) bool { return g.responded && !g.freeAt.After(now) }
 	if c.majority(free) {
@@ -118,8 +122,8 @@
 }
 
 // sampleAfterHeldWorker returns the position after the first worker that responded and has an unexpired lease; 0 if there is
-// none. The next step then probes a single worker. Otherwise a worker that is down would cause a survey in each probe
-// interval.
+// none. With a position above 0, the next step probes a single worker. If it always surveyed all workers, a worker that is
+// down would cause a survey in each probe interval.
 func (c *Core) sampleAfterHeldWorker(now time.Time) int {
 	for i, id := range c.sortedWorkers() {
 		if g := c.workers[id]; g.responded && g.freeAt.After(now) {
@@ -129,7 +133,8 @@
 	return 0
 }
 
-// untilMajorityFree returns the time until the leases of a majority may be free, at most ProbeInterval.
+// untilMajorityFree returns the time until the leases of a majority may be free, in steps of 100 ms and at most
+// ProbeInterval.
 func (c *Core) untilMajorityFree(now time.Time) time.Duration {
 	for wait := 100 * time.Millisecond; wait < ProbeInterval; wait += 100 * time.Millisecond {
 		at := now.Add(wait)
@@ -140,6 +145,7 @@
 	return ProbeInterval
 }
 
+// allResponded reports whether all workers have responded in the current survey or claim.
 func (c *Core) allResponded() bool {
 	for _, g := range c.workers {
 		if !g.responded {
@@ -149,10 +155,11 @@
 	return true
 }
 
+// claim starts PhaseClaim with an epoch above all known ones and returns the claims for all workers.
 func (c *Core) claim(now time.Time) []Request {
 	c.phase = PhaseClaim
 	c.phaseStart = now
-	c.collided = false
+	c.epochCollision = false
 	c.maxEpoch++
 	c.epoch = c.maxEpoch
 	var requests []Request
@@ -181,9 +188,9 @@
 	return requests
 }
 
-// stepActive renews the leases that are due; the caller may renew earlier, along with commands. It returns to standby once
-// the majority is lost. It raises the epoch if a worker has seen a higher epoch, or the same one from another holder, as
-// happens after a failed claim of another candidate.
+// stepActive renews the leases that are due; the user of the Core may renew earlier, together with commands. It returns to
+// standby once the majority is lost. It raises the epoch if a worker has granted a higher epoch, or the same one to another
+// holder, as happens after a failed claim of another candidate.
 func (c *Core) stepActive(now time.Time) []Request {
 	if !c.Active(now) {
 		requests := c.relinquishRequests()
@@ -191,10 +198,10 @@
 		c.nextSample = 0
 		return requests
 	}
-	if c.maxEpoch > c.epoch || c.collided {
+	if c.maxEpoch > c.epoch || c.epochCollision {
 		c.epoch = c.maxEpoch + 1
 		c.maxEpoch = c.epoch
-		c.collided = false
+		c.epochCollision = false
 		for _, g := range c.workers {
 			g.lastSent = time.Time{}
 		}
