--- a/jobs/fold.go
+++ b/jobs/fold.go
@@ -11,7 +11,7 @@
 	"github.com/redwingthread/redwingthread/infra"
 )
 
-// MaxEnded is the number of ended jobs that a fold keeps. The oldest are dropped in the order of their ended records, so
+// MaxEnded is the number of ended jobs that a fold keeps. Beyond it, the jobs whose ended records came first are dropped, so
 // that every reader drops the same ones. A repeated submission is recognised only while its job is kept.
 const MaxEnded = 1024
 
@@ -33,26 +33,28 @@
 	// ChangeStopped marks a checkpointed stop, after which the job is waiting again.
 	ChangeStopped Change = "stopped"
 	ChangeEnded   Change = "ended"
-	// ChangeLoaded marks that a snapshot replaced the state.
+	// ChangeLoaded marks a snapshot that replaced the state.
 	ChangeLoaded Change = "loaded"
 )
 
 // Fold is the state that results from applying the records of a job stream in order. All readers that apply the same records
 // reach the same state. It does no I/O and is not safe for concurrent use.
 type Fold struct {
-	next    uint64
+	next uint64
+	// entries holds the jobs by id.
 	entries map[string]*Entry
-	// endedOrder lists ended jobs in the order of their ended records.
+	// endedOrder lists the ids of ended jobs in the order of their ended records.
 	endedOrder []string
-	// complete is false while records below gapEnd are missing and no snapshot has replaced them.
+	// complete is false while some records below gapEnd are missing and no snapshot that covers them was loaded.
 	complete bool
 	gapEnd   uint64
 	// pending holds the records from gapEnd on while the fold is not complete.
 	pending []infra.Record
-	// lastSnapshot is the offset of the newest snapshot record seen; valid if hasSnapshot.
+	// lastSnapshot is the offset of the newest snapshot record; valid if hasSnapshot is set.
 	lastSnapshot uint64
 	hasSnapshot  bool
-	stopped      bool
+	// stopped is set once Apply has received a record with a newer rule set.
+	stopped bool
 }
 
 // NewFold returns the state before offset 0.
@@ -69,7 +71,8 @@
 // Stopped reports whether a record with a newer rule set stopped the fold.
 func (f *Fold) Stopped() bool { return f.stopped }
 
-// SinceSnapshot returns the number of records applied or skipped after the newest snapshot record.
+// SinceSnapshot returns the number of records that were applied or skipped after the newest snapshot record, or since offset 0
+// if there was none.
 func (f *Fold) SinceSnapshot() uint64 {
 	if !f.hasSnapshot {
 		return f.next
@@ -77,7 +80,7 @@
 	return f.next - f.lastSnapshot - 1
 }
 
-// HasSnapshot reports whether the fold has seen a snapshot record.
+// HasSnapshot reports whether a snapshot record was applied, even if the fold ignored its content.
 func (f *Fold) HasSnapshot() bool { return f.hasSnapshot }
 
 // Skip moves the fold to the offset oldest if records below it expired before they were read. The fold keeps its state until
@@ -92,14 +95,15 @@
 	f.pending = nil
 }
 
-// Apply applies the record at offset Next. A record below Next changes nothing. id is the id of the job that the record names.
-// The error wraps ErrRuleSet for a record with a newer rule set and is of kind Internal for a record beyond Next.
+// Apply applies the record at offset Next. A record below Next changes nothing. id is the id of the job that the record names;
+// empty if it names none, as a snapshot or a malformed record. The error wraps ErrRuleSet for a record with a newer rule set
+// and is of kind Internal for a record beyond Next.
 func (f *Fold) Apply(r infra.Record) (change Change, id string, err error) {
 	if r.Offset < f.next {
 		return ChangeNone, "", nil
 	}
 	if r.Offset > f.next {
-		return ChangeNone, "", errkind.New(errkind.Internal, "report this fault",
+		return ChangeNone, "", errkind.New(errkind.Internal, "report this as a bug",
 			"job stream record at offset %d applied at offset %d", r.Offset, f.next)
 	}
 	record, err := Decode(r.Data)
@@ -120,23 +124,25 @@
 	return change, id, nil
 }
 
+// apply applies a decoded record. A record whose content does not match its kind has no effect.
 func (f *Fold) apply(r Record, offset uint64) (Change, string) {
 	switch {
 	case r.Kind == RecordSubmit && r.Submit != nil:
-		return f.submit(*r.Submit, offset), r.Submit.ID
+		return f.applySubmit(*r.Submit, offset), r.Submit.ID
 	case r.Kind == RecordCancel && r.Cancel != nil:
-		return f.cancel(r.Cancel.Job), r.Cancel.Job
+		return f.applyCancel(r.Cancel.Job), r.Cancel.Job
 	case r.Kind == RecordIntent && r.Intent != nil:
-		return f.intent(r.Intent), r.Intent.Job
+		return f.applyIntent(r.Intent), r.Intent.Job
 	case r.Kind == RecordEnded && r.Ended != nil:
-		return f.ended(r.Ended), r.Ended.Job
+		return f.applyEnded(r.Ended), r.Ended.Job
 	case r.Kind == RecordSnapshot && r.Snapshot != nil:
-		return f.snapshot(r.Snapshot, offset), ""
+		return f.applySnapshot(r.Snapshot, offset), ""
 	}
 	return ChangeNone, ""
 }
 
-func (f *Fold) submit(job Job, offset uint64) Change {
+// applySubmit adds a job unless its id is in use.
+func (f *Fold) applySubmit(job Job, offset uint64) Change {
 	digest := ContentDigest(job)
 	if known, ok := f.entries[job.ID]; ok {
 		if known.Digest != digest {
@@ -148,7 +154,8 @@
 	return ChangeSubmitted
 }
 
-func (f *Fold) cancel(id string) Change {
+// applyCancel marks a job that has not ended as cancelled.
+func (f *Fold) applyCancel(id string) Change {
 	e, ok := f.entries[id]
 	if !ok || e.Ended != nil || e.Cancelled {
 		return ChangeNone
@@ -157,9 +164,9 @@
 	return ChangeCancelled
 }
 
-// intent applies an intent, of which the first one wins. A cancellation recorded before it takes precedence, so that the job
-// certainly does not run.
-func (f *Fold) intent(intent *Intent) Change {
+// applyIntent applies an intent, of which the first one wins. A cancellation recorded before it takes precedence, so that the
+// job is not released.
+func (f *Fold) applyIntent(intent *Intent) Change {
 	e, ok := f.entries[intent.Job]
 	if !ok || e.Ended != nil || e.Cancelled || e.Intent != nil {
 		return ChangeNone
@@ -169,7 +176,8 @@
 	return ChangeIntent
 }
 
-func (f *Fold) ended(ended *Ended) Change {
+// applyEnded applies the end of an attempt. The first record with a final state ends the job.
+func (f *Fold) applyEnded(ended *Ended) Change {
 	e, ok := f.entries[ended.Job]
 	if !ok || e.Ended != nil {
 		return ChangeNone
@@ -184,8 +192,8 @@
 	return ChangeEnded
 }
 
-// applyCheckpointedStop applies a checkpointed stop. A late record of an older attempt must not clear the intent of a newer
-// one.
+// applyCheckpointedStop applies a checkpointed stop, which clears the intent of the attempt. A late record of an older attempt
+// must not clear the intent of a newer one.
 func (e *Entry) applyCheckpointedStop(ended *Ended) Change {
 	if ended.State != StateWaiting || ended.Attempt < e.Attempt {
 		return ChangeNone
@@ -200,6 +208,7 @@
 	return ChangeStopped
 }
 
+// dropOldEnded drops ended jobs beyond MaxEnded.
 func (f *Fold) dropOldEnded() {
 	for len(f.endedOrder) > MaxEnded {
 		delete(f.entries, f.endedOrder[0])
@@ -207,9 +216,9 @@
 	}
 }
 
-// snapshot loads a snapshot that covers the records missing from the fold, which makes the fold complete. A complete fold
+// applySnapshot loads a snapshot that covers the records missing from the fold, which makes the fold complete. A complete fold
 // ignores it, since it already has the same state.
-func (f *Fold) snapshot(s *Snapshot, offset uint64) Change {
+func (f *Fold) applySnapshot(s *Snapshot, offset uint64) Change {
 	f.lastSnapshot = offset
 	f.hasSnapshot = true
 	if f.complete || s.Next < f.gapEnd {
@@ -230,6 +239,7 @@
 	return ChangeLoaded
 }
 
+// loadSnapshot replaces the entries by those of a snapshot.
 func (f *Fold) loadSnapshot(s *Snapshot) {
 	f.entries = make(map[string]*Entry, len(s.Entries))
 	f.endedOrder = nil
@@ -254,13 +264,13 @@
 	return s
 }
 
-// Get returns the entry of a job and whether it is known. The caller must not change the entry.
+// Get returns the entry of a job and whether it is known. The entry must not be modified.
 func (f *Fold) Get(id string) (*Entry, bool) {
 	e, ok := f.entries[id]
 	return e, ok
 }
 
-// Open returns the entries of jobs without a final state in order of submission. The caller must not change them.
+// Open returns the entries of jobs without a final state in order of submission. They must not be modified.
 func (f *Fold) Open() []*Entry {
 	var open []*Entry
 	for _, e := range f.entries {
@@ -272,7 +282,7 @@
 	return open
 }
 
-// All returns the entries of all jobs in order of submission. The caller must not change them.
+// All returns the entries of all jobs in order of submission. They must not be modified.
 func (f *Fold) All() []*Entry {
 	all := make([]*Entry, 0, len(f.entries))
 	for _, e := range f.entries {
@@ -286,7 +296,8 @@
 	sort.Slice(entries, func(i, k int) bool { return entries[i].Offset < entries[k].Offset })
 }
 
-// ContentDigest returns a digest of the job. It leaves out the submission time, which differs between retries.
+// ContentDigest returns a digest of the job without its submission time, which differs between retries. It returns 0 if the
+// job cannot be encoded.
 func ContentDigest(job Job) uint64 {
 	job.Submitted = time.Time{}
 	data, err := encMode.Marshal(job)
--- a/jobs/fold_test.go
+++ b/jobs/fold_test.go
@@ -40,7 +40,8 @@
 	return infra.Record{Offset: offset, Data: data}
 }
 
-// TestFoldRules guards against a record that takes effect although an earlier record takes precedence.
+// TestFoldRules guards against a record that takes effect although an earlier record takes precedence or its job is unknown,
+// and against a checkpointed stop that keeps the intent.
 func TestFoldRules(t *testing.T) {
 	other := testJob("a")
 	other.Account = "scan"
@@ -95,7 +96,7 @@
 	f := NewFold()
 	_, _, err = f.Apply(infra.Record{Data: data})
 	if !errors.Is(err, ErrRuleSet) || f.Next() != 0 || !f.Stopped() {
-		t.Fatalf("got error %v at offset %d", err, f.Next())
+		t.Fatalf("got error %v at offset %d, want ErrRuleSet at offset 0 and a stopped fold", err, f.Next())
 	}
 }
 
--- a/jobs/job.go
+++ b/jobs/job.go
@@ -14,15 +14,15 @@
 	Account       string         `json:"account" cbor:"account"`
 	FailureDomain string         `json:"failure_domain" cbor:"failure_domain"`
 	Shape         resource.Shape `json:"shape" cbor:"shape"`
-	// Urgent jobs are planned before others and start within 1.8 s if no capacity has to be reclaimed for them.
+	// Urgent marks a job that is planned before others and starts within 1.8 s if no capacity has to be reclaimed for it.
 	Urgent bool `json:"urgent,omitempty" cbor:"urgent,omitempty"`
-	// RunOnce jobs are never started twice.
+	// RunOnce marks a job that never runs twice. After a checkpointed stop it continues from its checkpoints.
 	RunOnce bool `json:"run_once,omitempty" cbor:"run_once,omitempty"`
-	// CanCheckpoint jobs save their progress before a stop.
+	// CanCheckpoint marks a job that can save its progress before a stop.
 	CanCheckpoint bool `json:"can_checkpoint,omitempty" cbor:"can_checkpoint,omitempty"`
 	// DeclaredRunSeconds is the submitter's estimate of the run time in seconds. No guarantee depends on it.
 	DeclaredRunSeconds int64 `json:"declared_run_seconds,omitempty" cbor:"declared_run_seconds,omitempty"`
-	// Run is the command line of each task.
+	// Run is the command line of each task: the program and its arguments.
 	Run []string `json:"run" cbor:"run"`
 	// Submitted is the time of submission by the clock of the gateway that recorded the job.
 	Submitted time.Time `json:"submitted" cbor:"submitted"`
@@ -47,7 +47,7 @@
 	StateUnknown State = "unknown"
 )
 
-// Final reports whether s is a final state, in which a job stays for good.
+// Final reports whether s is a final state, which a job never leaves.
 func (s State) Final() bool {
 	switch s {
 	case StateCompleted, StateFailed, StateCancelled, StateUnknown:
@@ -58,10 +58,11 @@
 
 // Status is a job with its current state, as shown to operators.
 type Status struct {
-	Job     Job    `json:"job" cbor:"job"`
-	State   State  `json:"state" cbor:"state"`
+	Job   Job   `json:"job" cbor:"job"`
+	State State `json:"state" cbor:"state"`
+	// Attempt is the number of the current or last known attempt; 0 if there was none.
 	Attempt uint64 `json:"attempt" cbor:"attempt"`
-	// Reason says why the job is waiting or has ended; empty while it runs.
+	// Reason says why the job is waiting, starting or stopping, or has ended; empty while it runs.
 	Reason string `json:"reason,omitempty" cbor:"reason,omitempty"`
 	// Workers holds the worker of each member while the job is placed.
 	Workers []string `json:"workers,omitempty" cbor:"workers,omitempty"`
--- a/jobs/jobquery/jobquery.go
+++ b/jobs/jobquery/jobquery.go
@@ -1,6 +1,6 @@
 // Package jobquery queries the schedulers of a failure domain about jobs over the inner protocol.
 //
-// It is separate from package jobs because package inner imports that package.
+// It is separate from package jobs because package inner imports package jobs.
 package jobquery
 
 import (
@@ -29,32 +29,34 @@
 	return &Querier{caller: caller, addresses: addresses}
 }
 
-// Query asks the schedulers one after the other until the active one responds, and otherwise returns the response of a
-// standby. A query with Wake goes to all schedulers. The error is of kind Unavailable if none responds.
+// Query sends the query to one scheduler after the other until the active one responds. If that one does not respond, it
+// returns the last response of a standby. A query with Wake goes to all schedulers and returns the last response. The error
+// is of kind Unavailable if no scheduler responds.
 func (q *Querier) Query(ctx context.Context, failureDomain string, query jobs.Query) ([]jobs.Status, bool, error) {
 	request := &inner.Request{JobQuery: &inner.JobQuery{ID: query.ID, Account: query.Account, State: query.State,
 		Wake: query.Wake}}
-	var standby *inner.JobQueryResponse
+	var lastResponse *inner.JobQueryResponse
 	err := errkind.New(errkind.Unavailable, "check the scheduler daemons of the failure domain",
 		"no scheduler of failure domain %s is known", failureDomain)
 	for _, address := range q.addresses(failureDomain) {
-		response, callErr := q.queryScheduler(ctx, address, request)
+		response, requestErr := q.queryScheduler(ctx, address, request)
 		switch {
-		case callErr != nil:
-			err = errkind.Wrap(callErr, errkind.Unavailable, "check the scheduler daemons of the failure domain",
+		case requestErr != nil:
+			err = errkind.Wrap(requestErr, errkind.Unavailable, "check the scheduler daemons of the failure domain",
 				"scheduler %s of failure domain %s did not respond", address, failureDomain)
 		case response.Active && !query.Wake:
 			return response.Jobs, true, nil
 		default:
-			standby = response
+			lastResponse = response
 		}
 	}
-	if standby != nil {
-		return standby.Jobs, standby.Active, nil
+	if lastResponse != nil {
+		return lastResponse.Jobs, lastResponse.Active, nil
 	}
 	return nil, false, err
 }
 
+// queryScheduler sends a query to one scheduler. The error is that of the request or of the response.
 func (q *Querier) queryScheduler(ctx context.Context, address string, request *inner.Request) (*inner.JobQueryResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, schedulerTimeout)
 	defer cancel()
--- a/jobs/jobquery/jobquery_test.go
+++ b/jobs/jobquery/jobquery_test.go
@@ -28,8 +28,8 @@
 	return &inner.Response{JobQuery: &inner.JobQueryResponse{Active: active, Jobs: []jobs.Status{{Reason: address}}}}, nil
 }
 
-// TestQueryPrefersActive guards against a stale response of a standby while the active scheduler responds, and against a
-// wake that reaches only one of the schedulers.
+// TestQueryPrefersActive guards against a stale response of a standby while the active scheduler responds, against an error
+// while only a standby responds, and against a wake that reaches only some of the schedulers.
 func TestQueryPrefersActive(t *testing.T) {
 	cases := map[string]struct {
 		active map[string]bool
@@ -46,7 +46,7 @@
 			statuses, active, err := q.Query(t.Context(), "fd-a", jobs.Query{})
 			if c.from == "" {
 				if !errkind.Is(err, errkind.Unavailable) {
-					t.Fatalf("got %v", err)
+					t.Fatalf("got error %v, want one of kind unavailable", err)
 				}
 				return
 			}
@@ -54,7 +54,7 @@
 				t.Fatalf("got %v, %v, %v", statuses, active, err)
 			}
 			if _, _, err := q.Query(t.Context(), "fd-a", jobs.Query{Wake: true}); err != nil || caller.woken != len(c.active) {
-				t.Fatalf("woke %d of %d, %v", caller.woken, len(c.active), err)
+				t.Fatalf("woke %d of %d schedulers, error %v", caller.woken, len(c.active), err)
 			}
 		})
 	}
--- a/jobs/records.go
+++ b/jobs/records.go
@@ -70,23 +70,24 @@
 	Entries []Entry `cbor:"entries"`
 }
 
-// Entry is the folded state of one job.
+// Entry is the state of one job in a Fold.
 type Entry struct {
 	Job Job `cbor:"job"`
 	// Offset is the offset of the submit record.
 	Offset uint64 `cbor:"offset"`
 	// Digest is the ContentDigest of the job.
-	Digest    uint64 `cbor:"digest"`
-	Cancelled bool   `cbor:"cancelled,omitempty"`
+	Digest uint64 `cbor:"digest"`
+	// Cancelled is set once a cancellation was recorded. The job may still be running.
+	Cancelled bool `cbor:"cancelled,omitempty"`
 	// Intent is the winning intent since the last checkpointed stop; nil if there is none.
 	Intent *Intent `cbor:"intent,omitempty"`
 	// Ended is set once the job has a final state.
 	Ended *Ended `cbor:"ended,omitempty"`
 	// Checkpoints holds the checkpoint of each member from which the job continues.
 	Checkpoints []string `cbor:"checkpoints,omitempty"`
-	// CheckpointAttempt is the attempt that wrote Checkpoints.
+	// CheckpointAttempt is the number of the attempt that wrote Checkpoints; 0 if there are none.
 	CheckpointAttempt uint64 `cbor:"checkpoint_attempt,omitempty"`
-	// Attempt is the highest attempt that an intent or ended record named.
+	// Attempt is the highest attempt number in an intent or ended record that took effect; 0 if there was none.
 	Attempt uint64 `cbor:"attempt,omitempty"`
 }
 
@@ -119,12 +120,13 @@
 	return mode
 }
 
-// Encode returns the CBOR encoding of r with the rule set of this program. The error is of kind Internal.
+// Encode returns the CBOR encoding of r with the rule set of this program. The error is of kind Internal if r cannot be
+// encoded.
 func Encode(r Record) ([]byte, error) {
 	r.RuleSet = RuleSet
 	data, err := encMode.Marshal(r)
 	if err != nil {
-		return nil, errkind.Wrap(err, errkind.Internal, "report this fault", "encode %s record", r.Kind)
+		return nil, errkind.Wrap(err, errkind.Internal, "report this as a bug", "encode %s record", r.Kind)
 	}
 	return data, nil
 }
--- a/jobs/service.go
+++ b/jobs/service.go
@@ -17,10 +17,12 @@
 	readTimeout   = 2 * time.Second
 	// confirmTimeout bounds the wait until an appended record is read back from the log.
 	confirmTimeout = 3 * time.Second
-	// confirmInterval is the time between these reads.
+	// confirmInterval is the time between the reads of this wait.
 	confirmInterval = 100 * time.Millisecond
-	queryTimeout    = time.Second
-	readLimit       = 500
+	// queryTimeout bounds a query to the schedulers of a failure domain.
+	queryTimeout = time.Second
+	// readLimit is the maximum number of records of one read.
+	readLimit = 500
 )
 
 // Query selects jobs of a failure domain. Empty fields match all jobs.
@@ -28,13 +30,14 @@
 	ID      string
 	Account string
 	State   string
-	// Wake notifies the scheduler that a record was appended.
+	// Wake notifies the schedulers that a record was appended.
 	Wake bool
 }
 
 // Querier queries the schedulers of a failure domain. Package jobs/jobquery implements it over inner.Caller.
 type Querier interface {
-	// Query returns the statuses known to a scheduler. active is false if they come from a standby, which knows no placements.
+	// Query returns the statuses of the matching jobs known to a scheduler. active is false if they come from a standby, which
+	// knows no placements.
 	Query(ctx context.Context, failureDomain string, q Query) (statuses []Status, active bool, err error)
 }
 
@@ -46,13 +49,13 @@
 	Querier Querier
 }
 
-// Service submits, cancels and shows jobs for the gateway daemon, which authenticates the callers. An account argument
+// Service submits, cancels and shows jobs for the gateway daemon, which authenticates the requests. An account argument
 // restricts a method to the jobs of that account; "" allows all jobs. A Service is safe for concurrent use.
 type Service struct {
 	options ServiceOptions
 
 	mu sync.Mutex
-	// streams is guarded by mu.
+	// streams holds the streams by failure domain; guarded by mu.
 	streams map[string]*stream
 }
 
@@ -61,7 +64,7 @@
 	name string
 	log  infra.Log
 	mu   sync.Mutex
-	// fold is guarded by mu. mu is held while the log is read, so that concurrent callers do not read the same records.
+	// fold is guarded by mu. mu is held while the log is read, so that concurrent requests do not read the same records.
 	fold *Fold
 }
 
@@ -85,6 +88,7 @@
 	return "not_run"
 }
 
+// stream returns the stream of a failure domain. It adds one if there is none yet.
 func (s *Service) stream(failureDomain string) *stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,6 +123,7 @@
 	}
 }
 
+// get returns a copy of the entry of a job and whether the job is known.
 func (st *stream) get(id string) (Entry, bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -129,6 +134,7 @@
 	return *e, true
 }
 
+// statuses returns the statuses of all jobs that the log shows, in order of submission.
 func (st *stream) statuses() []Status {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -139,7 +145,7 @@
 	return statuses
 }
 
-// append appends a record. notRecorded reports whether the record is certainly not in the log after an error.
+// append appends a record. After an error, notRecorded reports whether the record is certainly not in the log.
 func (st *stream) append(ctx context.Context, r Record) (notRecorded bool, err error) {
 	data, err := Encode(r)
 	if err != nil {
@@ -152,8 +158,8 @@
 	return notRecorded, err
 }
 
-// awaitRecord reads the stream until recorded returns true. The error is of kind Unknown if that takes longer than
-// confirmTimeout; it wraps cause, the error of the append, if there was one.
+// awaitRecord reads the stream until recorded returns true, also after the end of ctx. The error is of kind Unknown if that
+// takes longer than confirmTimeout; it wraps cause, the error of the append, if there was one.
 func (st *stream) awaitRecord(ctx context.Context, remedy string, cause error, recorded func() bool) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), confirmTimeout)
 	defer cancel()
@@ -207,6 +213,7 @@
 	return s.recordSubmission(ctx, job)
 }
 
+// recordSubmission appends the submission of a job, waits until it is read back and returns the status of the job.
 func (s *Service) recordSubmission(ctx context.Context, job Job) (Status, error) {
 	st := s.stream(job.FailureDomain)
 	if job.Submitted.IsZero() {
@@ -310,6 +317,8 @@
 	return all, nil
 }
 
+// listDomain returns the statuses of all jobs of a failure domain, with those of an active scheduler in place of those that
+// the log shows. The scheduler is queried only for the jobs of account, if there is one.
 func (s *Service) listDomain(ctx context.Context, fd, account string) []Status {
 	st := s.stream(fd)
 	// The error is ignored: an outage of the log must not hide known jobs, whose states then come from the scheduler.
@@ -333,7 +342,8 @@
 	return folded
 }
 
-// lookup searches all failure domains for a job of the account.
+// lookup searches all failure domains for a job of the account, or of any account if it is "". The error is of kind NotFound
+// if there is none.
 func (s *Service) lookup(ctx context.Context, id, account string) (Entry, *stream, error) {
 	doc := s.options.Config()
 	if doc == nil {
--- a/jobs/service_test.go
+++ b/jobs/service_test.go
@@ -17,7 +17,7 @@
 type memoryLog struct {
 	mu      sync.Mutex
 	streams map[string][]infra.Record
-	down    bool
+	down    bool // makes reads fail
 	// loseResponse makes appends fail after they took effect, loseRecord before.
 	loseResponse, loseRecord bool
 }
@@ -50,6 +50,7 @@
 	return infra.ReadResponse{Next: uint64(len(records)), Records: records[from:]}, nil
 }
 
+// noScheduler is a Querier that reaches no scheduler.
 type noScheduler struct{}
 
 func (noScheduler) Query(context.Context, string, Query) ([]Status, bool, error) {
@@ -80,8 +81,8 @@
 	return s
 }
 
-// TestSubmitOutcomes guards against the outcome "not_run" for a job that may be in the log, and against "unknown" for a job
-// whose outcome is certain.
+// TestSubmitOutcomes guards against the outcome "not_run" for a job that may be in the log, against "unknown" for a job whose
+// outcome is certain, and against an unknown outcome without the command that shows it.
 func TestSubmitOutcomes(t *testing.T) {
 	large := testJob("a")
 	large.Shape = resource.Shape{Members: 3, PerMember: resource.Resources{Accelerators: 8}, Adjacency: resource.AdjacencyRack}
@@ -115,7 +116,8 @@
 }
 
 // TestRepeatedSubmitAndAccountIsolation guards against a repeated submission that creates a second job, a submission that
-// changes the content of an id, and an account with access to a job of another account.
+// changes the content of an id, an account with access to a job of another account, a job outside the failure domain of its
+// account's guarantee, and a cancellation that is not recorded.
 func TestRepeatedSubmitAndAccountIsolation(t *testing.T) {
 	log := &memoryLog{streams: map[string][]infra.Record{}}
 	s := newTestService(t, log)
@@ -128,20 +130,20 @@
 		}
 	}
 	if n := len(log.streams["jobs-fd-b"]); n != 1 {
-		t.Fatalf("%d records for one job", n)
+		t.Fatalf("%d records for one job, want 1", n)
 	}
 	job.Urgent = true
 	if _, err := s.Submit(t.Context(), job); !errkind.Is(err, errkind.Conflict) {
-		t.Fatalf("got %v for other content", err)
+		t.Fatalf("got %v for other content, want a conflict", err)
 	}
 	if _, err := s.Get(t.Context(), "a", "scan"); !errkind.Is(err, errkind.NotFound) {
-		t.Fatalf("got %v for another account", err)
+		t.Fatalf("got %v for another account, want a not-found error", err)
 	}
 	if _, err := s.Cancel(t.Context(), "a", "scan", "scan"); !errkind.Is(err, errkind.NotFound) {
-		t.Fatalf("got %v for a cancel by another account", err)
+		t.Fatalf("got %v for a cancel by another account, want a not-found error", err)
 	}
 	if list, err := s.List(t.Context(), Filter{Account: "scan"}); err != nil || len(list) != 0 {
-		t.Fatalf("got %v, %v for another account's list", list, err)
+		t.Fatalf("got %v, %v for another account's list, want no job", list, err)
 	}
 	if _, err := s.Cancel(t.Context(), "a", "orders", "orders"); err != nil {
 		t.Fatal(err)
--- a/jobs/validate.go
+++ b/jobs/validate.go
@@ -10,14 +10,15 @@
 
 // Limits of the command line of a job.
 const (
-	maxRunArguments = 256
-	maxRunBytes     = 16 << 10
+	maxCommandArguments = 256
+	maxCommandBytes     = 16 << 10
 )
 
 // idPattern matches ids that need no escaping in a URL path segment or a log line.
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// validate returns a typed error for the first problem found in a submitted job.
+// validate returns an error for the first fault found in a submitted job. Its kind is BadInput, NotFound (account or failure
+// domain) or TooLarge.
 func validate(job Job, doc *config.Document) error {
 	if !idPattern.MatchString(job.ID) {
 		return errkind.New(errkind.BadInput, "use 1 to 64 letters, digits, dots, dashes and underscores, the first a letter or digit",
@@ -35,10 +36,11 @@
 	if err := job.Shape.Validate(); err != nil {
 		return err
 	}
-	return validateRun(job)
+	return validateCommandLine(job)
 }
 
-func validateRun(job Job) error {
+// validateCommandLine returns an error if the command line or the declared run time of a job is invalid.
+func validateCommandLine(job Job) error {
 	size := 0
 	for _, argument := range job.Run {
 		size += len(argument)
@@ -46,7 +48,7 @@
 	if len(job.Run) == 0 || job.Run[0] == "" {
 		return errkind.New(errkind.BadInput, "set run to the command line", "job %s has no command", job.ID)
 	}
-	if len(job.Run) > maxRunArguments || size > maxRunBytes {
+	if len(job.Run) > maxCommandArguments || size > maxCommandBytes {
 		return errkind.New(errkind.TooLarge, "put the arguments into a file that the command reads",
 			"command line of job %s is too large: %d arguments, %d bytes", job.ID, len(job.Run), size)
 	}
@@ -58,7 +60,7 @@
 
 // ChooseFailureDomain picks a failure domain for a job that names none. It prefers one in which the account has a guarantee
 // whose shape holds the job, then one in which the account has any guarantee, and among these the one with the most
-// capacity. Ties go to the first name in sorted order. The error is of kind Infeasible if no failure domain can hold the job.
+// accelerators, then processors. Ties go to the first name in sorted order. The error is of kind Infeasible if no failure domain can hold the job.
 func ChooseFailureDomain(job Job, doc *config.Document) (string, error) {
 	best, bestRank := "", -1
 	var bestCapacity resource.Resources
@@ -95,6 +97,7 @@
 	return rank
 }
 
+// totalCapacity returns the sum of the capacities of all workers of a failure domain.
 func totalCapacity(fd string, doc *config.Document) resource.Resources {
 	var total resource.Resources
 	for _, w := range doc.Workers {
@@ -105,6 +108,7 @@
 	return total
 }
 
+// hasMoreCapacity compares two capacities by accelerators, then by processors.
 func hasMoreCapacity(a, b resource.Resources) bool {
 	if a.Accelerators != b.Accelerators {
 		return a.Accelerators > b.Accelerators
@@ -132,8 +136,8 @@
 		"failure domain %s can hold %d of %d members of job %s", fd, maxMembers, job.Shape.Members, job.ID)
 }
 
-// adjacencyGroup returns the name of the group of workers to which the adjacency confines all members of a gang on this
-// worker.
+// adjacencyGroup returns the name of the group of workers to which the adjacency confines a gang with a member on this worker:
+// the worker itself, its rack, or "" for the whole failure domain.
 func adjacencyGroup(adjacency resource.Adjacency, worker, rack string) string {
 	switch adjacency {
 	case resource.AdjacencyWorker:
@@ -144,7 +148,7 @@
 	return ""
 }
 
-// workerMembers returns the number of members that an empty worker holds, at most resource.MaxMembers.
+// workerMembers returns the number of members that an empty worker can hold, at most resource.MaxMembers.
 func workerMembers(perMember, capacity resource.Resources) int {
 	n := 0
 	for n < resource.MaxMembers && perMember.Times(n+1).Fits(capacity) {
