--- a/cmd/redwingctl/api_test.go
+++ b/cmd/redwingctl/api_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	follower := configlog.NewFollower(configlog.Settings{Log: client, PollWait: 200 * time.Millisecond})
+	follower := configlog.NewFollower(configlog.Options{Log: client, PollWait: 200 * time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = follower.Run(ctx) }()
--- a/configlog/append.go
+++ b/configlog/append.go
@@ -14,29 +14,29 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if f.state.Next != resp.Next || !f.state.SnapshotDue(now, resp.Oldest, f.settings.Retention) {
+	if f.state.Next != resp.Next || !f.state.SnapshotDue(now, resp.Oldest, f.options.Retention) {
 		if f.state.Next == resp.Next {
 			f.nextSnapshotAt = time.Time{}
 		}
 		return
 	}
 	if f.nextSnapshotAt.IsZero() {
-		f.nextSnapshotAt = now.Add(f.random.duration(f.settings.SnapshotJitter))
+		f.nextSnapshotAt = now.Add(f.random.duration(f.options.SnapshotJitter))
 		return
 	}
 	if f.appendingSnapshot || now.Before(f.nextSnapshotAt) {
 		return
 	}
 	// If the response to the append is lost, the next attempt must wait until this process has read its own record.
-	f.nextSnapshotAt = now.Add(f.settings.SnapshotJitter/2 + f.random.duration(f.settings.SnapshotJitter))
+	f.nextSnapshotAt = now.Add(f.options.SnapshotJitter/2 + f.random.duration(f.options.SnapshotJitter))
 	f.appendingSnapshot = true
 	record := Record{RuleSet: f.state.RuleSet, At: now.UnixMilli(), Snapshot: f.state.Snapshot()}
 	go f.appendSnapshot(ctx, record)
 }
 
 func (f *Follower) appendSnapshot(ctx context.Context, record Record) {
-	err := f.append(ctx, record, 2*f.settings.CallTimeout)
-	f.settings.Logger.Info().Err(err).Uint64("version", record.Snapshot.Version).Uint64("offset", record.Snapshot.Offset).
+	err := f.append(ctx, record, 2*f.options.CallTimeout)
+	f.options.Logger.Info().Err(err).Uint64("version", record.Snapshot.Version).Uint64("offset", record.Snapshot.Offset).
 		Msg("append of configuration snapshot finished")
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	_, err = f.settings.Log.Append(ctx, infra.ConfigStream, [][]byte{raw})
+	_, err = f.options.Log.Append(ctx, infra.ConfigStream, [][]byte{raw})
 	if err != nil {
 		metricAppendErrors.Inc(1)
 	} else if record.Snapshot != nil {
--- a/configlog/catchup.go
+++ b/configlog/catchup.go
@@ -49,7 +49,7 @@
 		}
 		return err
 	}
-	if f.gapAge() < f.settings.GapGrace || !f.confirmNoPeerHasConfig(ctx) {
+	if f.gapAge() < f.options.GapGrace || !f.confirmNoPeerHasConfig(ctx) {
 		return errkind.New(errkind.Unavailable, "wait for a peer that has the configuration",
 			"log starts at offset %d and contains no snapshot", resp.Oldest)
 	}
@@ -81,7 +81,7 @@
 	var found *State
 	from := oldest
 	for {
-		resp, err := f.read(ctx, from, 0, 2*f.settings.ReadMargin)
+		resp, err := f.read(ctx, from, 0, 2*f.options.ReadMargin)
 		if err != nil {
 			return nil, err
 		}
@@ -121,7 +121,7 @@
 	if f.state.Next >= oldest {
 		return nil
 	}
-	f.settings.Logger.Error().Uint64("from", f.state.Next).Uint64("to", oldest).Msg("configuration records expired unread")
+	f.options.Logger.Error().Uint64("from", f.state.Next).Uint64("to", oldest).Msg("configuration records expired unread")
 	f.state.SkipTo(oldest)
 	metricSkipped.Inc(1)
 	f.recordCache.clear()
@@ -135,10 +135,10 @@
 // this process waits much longer (IsolatedGapGrace) for a snapshot of such a process.
 func (f *Follower) canSkipGap(ctx context.Context) bool {
 	missing := f.gapAge()
-	if missing < f.settings.GapGrace {
+	if missing < f.options.GapGrace {
 		return false
 	}
-	return missing >= f.settings.IsolatedGapGrace || f.confirmNoPeerAhead(ctx)
+	return missing >= f.options.IsolatedGapGrace || f.confirmNoPeerAhead(ctx)
 }
 
 // gapAge returns how long the next records have been missing from the log. The first call starts the measurement.
@@ -153,7 +153,7 @@
 
 // confirmNoPeerAhead queries each peer and reports whether all responded that they hold no records after this state.
 func (f *Follower) confirmNoPeerAhead(ctx context.Context) bool {
-	peers := f.settings.Peers()
+	peers := f.options.Peers()
 	next := f.nextOffset()
 	return f.queryPeers(ctx, peers, func(ctx context.Context, p Peer) bool {
 		resp, err := p.FetchRecords(ctx, inner.FetchRecords{From: next, Limit: 1})
@@ -164,7 +164,7 @@
 // syncWithPeers queries peers while the log does not respond, while there is no configuration, and after a heartbeat
 // that reports a higher offset.
 func (f *Follower) syncWithPeers(ctx context.Context) {
-	ticker := time.NewTicker(f.settings.PeerPeriod)
+	ticker := time.NewTicker(f.options.PeerPeriod)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -180,7 +180,7 @@
 		} else {
 			f.fetchStateFromPeers(ctx)
 		}
-		boottime.Sleep(ctx, f.settings.PeerPeriod/2)
+		boottime.Sleep(ctx, f.options.PeerPeriod/2)
 	}
 }
 
@@ -190,7 +190,7 @@
 	if f.state == nil || f.state.Doc == nil || f.hint > f.state.Next {
 		return true
 	}
-	return f.logError != nil || time.Since(f.lastRead) > f.settings.PollWait+f.settings.PeerPeriod
+	return f.logError != nil || time.Since(f.lastRead) > f.options.PollWait+f.options.PeerPeriod
 }
 
 // requestPeerSync makes syncWithPeers run its next round without waiting for the ticker.
@@ -215,7 +215,7 @@
 
 // randomPeers returns up to peersPerRound randomly chosen peers.
 func (f *Follower) randomPeers() []Peer {
-	peers := append([]Peer(nil), f.settings.Peers()...)
+	peers := append([]Peer(nil), f.options.Peers()...)
 	f.random.mu.Lock()
 	defer f.random.mu.Unlock()
 	f.random.rng.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
@@ -228,7 +228,7 @@
 	results := make(chan bool, len(peers))
 	for _, p := range peers {
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, f.settings.CallTimeout)
+			ctx, cancel := context.WithTimeout(ctx, f.options.CallTimeout)
 			defer cancel()
 			results <- query(ctx, p)
 		}()
@@ -279,7 +279,7 @@
 	}
 	state, err := DecodeState(resp.State)
 	if err != nil {
-		f.settings.Logger.Warn().Err(err).Str("peer", p.ID()).Msg("cannot use configuration state of peer")
+		f.options.Logger.Warn().Err(err).Str("peer", p.ID()).Msg("cannot use configuration state of peer")
 		return false
 	}
 	if !f.replaceState(state) {
@@ -291,7 +291,7 @@
 
 // confirmNoPeerHasConfig queries each peer and reports whether all responded that they have no configuration.
 func (f *Follower) confirmNoPeerHasConfig(ctx context.Context) bool {
-	peers := f.settings.Peers()
+	peers := f.options.Peers()
 	return f.queryPeers(ctx, peers, func(ctx context.Context, p Peer) bool {
 		resp, err := p.FetchState(ctx)
 		return err == nil && len(resp.State) == 0
--- a/configlog/cluster_test.go
+++ b/configlog/cluster_test.go
@@ -108,7 +108,7 @@
 // start starts a new incarnation of n.
 func (c *cluster) start(ctx context.Context, group *sync.WaitGroup, n *node) {
 	ctx, cancel := context.WithCancel(ctx)
-	f := NewFollower(Settings{
+	f := NewFollower(Options{
 		Log: n.logClient, Logger: zerolog.Nop(), Seed: uint64(c.randomInt(1<<30) + 1),
 		Retention: Retention{Period: testRetention, EveryRecords: 200},
 		Peers: func() []Peer {
--- a/configlog/follower.go
+++ b/configlog/follower.go
@@ -26,8 +26,8 @@
 	FetchState(ctx context.Context) (inner.FetchStateResponse, error)
 }
 
-// Settings holds the dependencies and limits of a Follower. Durations and limits that are zero get defaults.
-type Settings struct {
+// Options holds the dependencies and limits of a Follower. Durations and limits that are zero get defaults.
+type Options struct {
 	Log infra.Log
 	// Peers returns the current peers. A nil function means that there are none.
 	Peers     func() []Peer
@@ -56,7 +56,7 @@
 	Seed uint64
 }
 
-// Defaults of Settings. The requirement is that a change is in force within 8 s. A change reaches a process that can
+// Defaults of Options. The requirement is that a change is in force within 8 s. A change reaches a process that can
 // reach a peer within PollWait + ReadMargin + 2 PeerPeriod = 5.5 s, even if its connection to the log is unresponsive.
 // GapGrace leaves enough of the 8 s for the other steps.
 const (
@@ -73,30 +73,30 @@
 	defaultEveryRecords = 250
 )
 
-func (s Settings) withDefaults() Settings {
+func (o Options) withDefaults() Options {
 	set := func(d *time.Duration, value time.Duration) {
 		if *d == 0 {
 			*d = value
 		}
 	}
-	set(&s.PollWait, defaultPollWait)
-	set(&s.ReadMargin, defaultReadMargin)
-	set(&s.PeerPeriod, defaultPeerPeriod)
-	set(&s.CallTimeout, defaultCallTimeout)
-	set(&s.GapGrace, defaultGapGrace)
-	set(&s.IsolatedGapGrace, defaultIsolatedGapGrace)
-	set(&s.SnapshotJitter, defaultSnapshotJitter)
-	set(&s.Retention.Period, defaultRetention)
-	if s.Retention.EveryRecords == 0 {
-		s.Retention.EveryRecords = defaultEveryRecords
+	set(&o.PollWait, defaultPollWait)
+	set(&o.ReadMargin, defaultReadMargin)
+	set(&o.PeerPeriod, defaultPeerPeriod)
+	set(&o.CallTimeout, defaultCallTimeout)
+	set(&o.GapGrace, defaultGapGrace)
+	set(&o.IsolatedGapGrace, defaultIsolatedGapGrace)
+	set(&o.SnapshotJitter, defaultSnapshotJitter)
+	set(&o.Retention.Period, defaultRetention)
+	if o.Retention.EveryRecords == 0 {
+		o.Retention.EveryRecords = defaultEveryRecords
 	}
-	if s.RecordCacheBytes == 0 {
-		s.RecordCacheBytes = defaultRecordCacheBytes
+	if o.RecordCacheBytes == 0 {
+		o.RecordCacheBytes = defaultRecordCacheBytes
 	}
-	if s.Peers == nil {
-		s.Peers = func() []Peer { return nil }
+	if o.Peers == nil {
+		o.Peers = func() []Peer { return nil }
 	}
-	return s
+	return o
 }
 
 // readLimit is the largest number of records requested in one read.
@@ -104,8 +104,8 @@
 
 // Follower holds the configuration in force and keeps it up to date. It is safe for concurrent use.
 type Follower struct {
-	settings Settings
-	doc      atomic.Pointer[config.Document]
+	options Options
+	doc     atomic.Pointer[config.Document]
 
 	mu sync.Mutex
 	// state is nil until an initial state was found. mu guards it and the fields from here to snapshotError.
@@ -164,14 +164,14 @@
 }
 
 // NewFollower returns a follower without a configuration. Run makes it follow the log.
-func NewFollower(settings Settings) *Follower {
+func NewFollower(options Options) *Follower {
 	return &Follower{
-		settings:          settings.withDefaults(),
+		options:           options.withDefaults(),
 		changed:           make(chan struct{}),
 		subscribers:       map[int]chan *config.Document{},
 		peerSyncRequested: make(chan struct{}, 1),
 		handlerLock:       make(chan struct{}, 1),
-		random:            newRandom(settings.Seed),
+		random:            newRandom(options.Seed),
 	}
 }
 
@@ -222,7 +222,7 @@
 	const firstBackoff, maxBackoff = 100 * time.Millisecond, time.Second
 	backoff := firstBackoff
 	for ctx.Err() == nil {
-		err := f.readOnce(ctx, f.settings.PollWait, f.settings.ReadMargin)
+		err := f.readOnce(ctx, f.options.PollWait, f.options.ReadMargin)
 		if err == nil {
 			backoff = firstBackoff
 			continue
@@ -239,7 +239,7 @@
 func (f *Follower) followSlowLog(ctx context.Context) {
 	const slowReadTimeout = 30 * time.Second
 	for ctx.Err() == nil {
-		boottime.Sleep(ctx, f.settings.PollWait+f.settings.ReadMargin)
+		boottime.Sleep(ctx, f.options.PollWait+f.options.ReadMargin)
 		f.mu.Lock()
 		failing := f.logError != nil
 		f.mu.Unlock()
@@ -271,7 +271,7 @@
 	f.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
 		metricReadErrors.Inc(1)
-		f.settings.Logger.Warn().Err(err).Uint64("offset", from).Msg("configuration log cannot be read")
+		f.options.Logger.Warn().Err(err).Uint64("offset", from).Msg("configuration log cannot be read")
 	}
 	return err
 }
@@ -279,7 +279,7 @@
 func (f *Follower) read(ctx context.Context, from uint64, wait, margin time.Duration) (infra.ReadResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+margin)
 	defer cancel()
-	return f.settings.Log.Read(ctx, infra.ConfigStream, from, readLimit, int(wait.Milliseconds()))
+	return f.options.Log.Read(ctx, infra.ConfigStream, from, readLimit, int(wait.Milliseconds()))
 }
 
 // handleResponse folds the records of a response that started at offset from, or closes the gap if the next ones have
@@ -316,7 +316,7 @@
 	stop := f.state.Stopped
 	f.mu.Unlock()
 	if stop != nil {
-		boottime.Sleep(ctx, f.settings.PollWait)
+		boottime.Sleep(ctx, f.options.PollWait)
 	}
 	return nil
 }
@@ -382,7 +382,7 @@
 	countDecision(decision)
 	if stop := f.state.Stopped; stop != nil {
 		metricStopped.Update(1)
-		f.settings.Logger.Error().Str("reason", string(stop.Reason)).Uint64("offset", stop.Offset).Msg(stop.Detail)
+		f.options.Logger.Error().Str("reason", string(stop.Reason)).Uint64("offset", stop.Offset).Msg(stop.Detail)
 		return
 	}
 	if f.state.Next != r.Offset+1 {
@@ -390,9 +390,9 @@
 		f.recordCache.clear()
 		return
 	}
-	f.recordCache.add(r, f.settings.RecordCacheBytes)
+	f.recordCache.add(r, f.options.RecordCacheBytes)
 	if decision != nil {
-		f.settings.Logger.Info().Str("patch", decision.ID).Str("outcome", string(decision.Outcome)).
+		f.options.Logger.Info().Str("patch", decision.ID).Str("outcome", string(decision.Outcome)).
 			Uint64("version", decision.Version).Str("author", decision.Author).Msg("configuration decision")
 	}
 }
--- a/configlog/peer.go
+++ b/configlog/peer.go
@@ -96,7 +96,7 @@
 	if !own.HasConfig || own.Version != h.ConfigVersion || own.Digest == h.ConfigDigest {
 		return false
 	}
-	f.settings.Logger.Error().Str("vm", h.Member.VM).Uint64("version", own.Version).
+	f.options.Logger.Error().Str("vm", h.Member.VM).Uint64("version", own.Version).
 		Msg("peer holds a different configuration with the same version")
 	return true
 }
--- a/configlog/state_test.go
+++ b/configlog/state_test.go
@@ -264,7 +264,7 @@
 	st := new(stream).init().patch("a", 0).patch("b", 1)
 	s := st.fold(NewState())
 	lower, _ := s.At(1)
-	f := NewFollower(Settings{})
+	f := NewFollower(Options{})
 	f.setInitialState(s.Clone(), 0)
 	f.state.Doc = lower
 	f.publish()
--- a/configlog/submit.go
+++ b/configlog/submit.go
@@ -147,9 +147,9 @@
 // CatchUp waits until every record that was in the log at the time of the call has been folded. It returns an error if
 // the log cannot be read, or of kind DeadlineExceeded if ctx ends first.
 func (f *Follower) CatchUp(ctx context.Context) error {
-	callCtx, cancel := context.WithTimeout(ctx, f.settings.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, f.options.CallTimeout)
 	defer cancel()
-	resp, err := f.settings.Log.Read(callCtx, infra.ConfigStream, f.nextOffset(), 1, 0)
+	resp, err := f.options.Log.Read(callCtx, infra.ConfigStream, f.nextOffset(), 1, 0)
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 // a successful append, most errors do not determine the outcome: appendAndSettle waits for the record to appear in the
 // log and otherwise appends it again. It doubles the timeout of each further append in case the log is slow.
 func (f *Follower) appendAndSettle(ctx context.Context, id string, record Record) Decision {
-	for timeout := f.settings.CallTimeout; ; timeout *= 2 {
+	for timeout := f.options.CallTimeout; ; timeout *= 2 {
 		err := f.append(ctx, record, timeout)
 		if errkind.Is(err, errkind.BadInput) || errkind.Is(err, errkind.TooLarge) {
 			return Decision{ID: id, Outcome: Refused, Version: versionOf(f.Document()), Error: withoutCause(err)}
--- a/daemon/base.go
+++ b/daemon/base.go
@@ -77,7 +77,7 @@
 		OnHeartbeat:   func(heartbeat inner.Heartbeat) { b.onHeartbeat(heartbeat, callbacks.onHeartbeat) },
 		ObserveVMs:    callbacks.observeVMs,
 	}, b.mux)
-	b.follower = configlog.NewFollower(configlog.Settings{
+	b.follower = configlog.NewFollower(configlog.Options{
 		Log:         b.logClient,
 		Peers:       b.node.configPeers,
 		Logger:      log,
