--- a/cmd/redwingctl/api_test.go
+++ b/cmd/redwingctl/api_test.go
@@ -70,7 +70,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	vm := singleVM{follower}
-	api := httptest.NewServer(operatorapi.New(operatorapi.Settings{
+	api := httptest.NewServer(operatorapi.New(operatorapi.Options{
 		Configuration: follower, Jobs: vm, Peers: vm, BootstrapTokenDigest: config.TokenDigest("first"),
 		Timeout: 2 * time.Second,
 	}))
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	api := operatorapi.New(operatorapi.Settings{
+	api := operatorapi.New(operatorapi.Options{
 		Configuration:        d.base.follower,
 		Jobs:                 jobsAdapter{service},
 		Peers:                peerView{node: d.base.node, follower: d.base.follower},
--- a/operatorapi/api.go
+++ b/operatorapi/api.go
@@ -70,8 +70,8 @@
 	ActiveSchedulers(ctx context.Context) map[string]string
 }
 
-// Settings holds the dependencies and limits of an API. A limit of zero selects the default.
-type Settings struct {
+// Options holds the dependencies and limits of an API. A limit of zero selects the default.
+type Options struct {
 	Configuration Configuration
 	Jobs          Jobs
 	Peers         Peers
@@ -89,7 +89,7 @@
 	Ready func() bool
 }
 
-// Defaults of Settings. The body limit is large enough for a configuration document of the planned size.
+// Defaults of Options. The body limit is large enough for a configuration document of the planned size.
 const (
 	defaultMaxBodyBytes = 4 << 20
 	defaultTimeout      = 10 * time.Second
@@ -99,23 +99,23 @@
 
 // API is the http.Handler of the operator API.
 type API struct {
-	settings Settings
-	mux      *http.ServeMux
-	slots    *semaphore.Weighted
+	options Options
+	mux     *http.ServeMux
+	slots   *semaphore.Weighted
 }
 
 // New returns the API.
-func New(settings Settings) *API {
-	if settings.MaxBodyBytes == 0 {
-		settings.MaxBodyBytes = defaultMaxBodyBytes
+func New(options Options) *API {
+	if options.MaxBodyBytes == 0 {
+		options.MaxBodyBytes = defaultMaxBodyBytes
 	}
-	if settings.Timeout == 0 {
-		settings.Timeout = defaultTimeout
+	if options.Timeout == 0 {
+		options.Timeout = defaultTimeout
 	}
-	if settings.MaxConcurrent == 0 {
-		settings.MaxConcurrent = defaultMaxConcurrent
+	if options.MaxConcurrent == 0 {
+		options.MaxConcurrent = defaultMaxConcurrent
 	}
-	a := &API{settings: settings, mux: http.NewServeMux(), slots: semaphore.NewWeighted(settings.MaxConcurrent)}
+	a := &API{options: options, mux: http.NewServeMux(), slots: semaphore.NewWeighted(options.MaxConcurrent)}
 	a.routes()
 	return a
 }
--- a/operatorapi/api_test.go
+++ b/operatorapi/api_test.go
@@ -119,7 +119,7 @@
 // accounts orders and blades, and blades has the running job j-blades.
 func newFixture(t *testing.T, empty bool) *fixture {
 	f := &fixture{configuration: &fakeConfiguration{state: configlog.NewState()}, jobs: &fakeJobs{jobs: map[string]jobs.Status{}}}
-	f.api = New(Settings{Configuration: f.configuration, Jobs: f.jobs, Peers: fakePeers{}, Logger: zerolog.Nop(),
+	f.api = New(Options{Configuration: f.configuration, Jobs: f.jobs, Peers: fakePeers{}, Logger: zerolog.Nop(),
 		BootstrapTokenDigest: config.TokenDigest("boot"), MaxBodyBytes: 8 << 10})
 	if !empty {
 		if status, body := f.do(t, "POST", "/v1/config/init", "boot", initDocument); status != 200 {
--- a/operatorapi/auth.go
+++ b/operatorapi/auth.go
@@ -45,7 +45,7 @@
 	if p.operator == "" && s != scopeAccount {
 		return principal{}, errkind.New(errkind.Forbidden, "use an operator token", "account %s may only use the job paths", p.account)
 	}
-	if p.operator == bootstrapName && a.settings.Configuration.Document() == nil && s != scopeBootstrap {
+	if p.operator == bootstrapName && a.options.Configuration.Document() == nil && s != scopeBootstrap {
 		return principal{}, errkind.New(errkind.Unavailable, "run redwingctl config init first", "the configuration is not initialised")
 	}
 	return p, nil
@@ -55,9 +55,9 @@
 // constant time, so that response times reveal nothing about them.
 func (a *API) findPrincipal(digest string) (principal, bool) {
 	var found principal
-	doc := a.settings.Configuration.Document()
+	doc := a.options.Configuration.Document()
 	if doc == nil {
-		bootstrap := a.settings.BootstrapTokenDigest
+		bootstrap := a.options.BootstrapTokenDigest
 		if config.ValidTokenDigest(bootstrap) && config.SameTokenDigest(bootstrap, digest) {
 			return principal{operator: bootstrapName}, true
 		}
--- a/operatorapi/config.go
+++ b/operatorapi/config.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	if doc := a.settings.Configuration.Document(); doc != nil {
+	if doc := a.options.Configuration.Document(); doc != nil {
 		return 0, nil, errkind.New(errkind.Conflict, "submit a patch instead",
 			"the configuration is already initialised; version %d is in force", doc.Version)
 	}
@@ -70,7 +70,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	d := a.settings.Configuration.Initialise(ctx, configlog.Initialise{
+	d := a.options.Configuration.Initialise(ctx, configlog.Initialise{
 		ID: "init-" + uuid.NewString(), Author: p.operator, Reason: "initialise", Document: doc,
 	})
 	return decisionResponse(d)
@@ -90,7 +90,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	before, after, err := a.settings.Configuration.Plan(patch)
+	before, after, err := a.options.Configuration.Plan(patch)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -128,11 +128,11 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	return decisionResponse(a.settings.Configuration.Submit(ctx, patch))
+	return decisionResponse(a.options.Configuration.Submit(ctx, patch))
 }
 
 func (a *API) settle(ctx context.Context, r *http.Request, _ principal) (int, any, error) {
-	return settledResponse(a.settings.Configuration.Settle(ctx, r.PathValue("id")))
+	return settledResponse(a.options.Configuration.Settle(ctx, r.PathValue("id")))
 }
 
 // WithdrawRequest is the body of a withdraw request. An empty author stands for the operator whose token was sent.
@@ -155,7 +155,7 @@
 	if body.Reason == "" || len(body.Reason) > config.MaxTextLength {
 		return 0, nil, errkind.New(errkind.BadInput, "give a reason of 1 to 512 bytes", "reason has %d bytes", len(body.Reason))
 	}
-	return settledResponse(a.settings.Configuration.Withdraw(ctx, r.PathValue("id"), body.Author, body.Reason))
+	return settledResponse(a.options.Configuration.Withdraw(ctx, r.PathValue("id"), body.Author, body.Reason))
 }
 
 // queryVersion parses the version in the query parameter of the given name. It returns fallback if there is none.
@@ -170,7 +170,7 @@
 
 // state returns a copy of the configuration state, or an error if the configuration is not initialised.
 func (a *API) state() (*configlog.State, error) {
-	state := a.settings.Configuration.State()
+	state := a.options.Configuration.State()
 	if state == nil || state.Doc == nil {
 		return nil, errkind.New(errkind.NotFound, "run redwingctl config init", "the configuration is not initialised")
 	}
@@ -253,8 +253,8 @@
 }
 
 func (a *API) status(ctx context.Context, _ *http.Request, _ principal) (int, any, error) {
-	body := StatusResult{Self: a.settings.Configuration.Status(), VMs: []VMVersion{}}
-	for _, vm := range a.settings.Peers.ConfigStatus(ctx) {
+	body := StatusResult{Self: a.options.Configuration.Status(), VMs: []VMVersion{}}
+	for _, vm := range a.options.Peers.ConfigStatus(ctx) {
 		entry := VMVersion{VM: vm.VM, FailureDomain: vm.FailureDomain, Version: outcomeUnknown}
 		if vm.Known {
 			entry.Version = vm.Version
@@ -275,9 +275,9 @@
 
 func (a *API) health(ctx context.Context, _ *http.Request, _ principal) (int, any, error) {
 	return http.StatusOK, HealthResult{
-		Ready:            a.settings.Ready == nil || a.settings.Ready(),
-		Configuration:    a.settings.Configuration.Status(),
-		Peers:            a.settings.Peers.Health(ctx),
-		ActiveSchedulers: a.settings.Peers.ActiveSchedulers(ctx),
+		Ready:            a.options.Ready == nil || a.options.Ready(),
+		Configuration:    a.options.Configuration.Status(),
+		Peers:            a.options.Peers.Health(ctx),
+		ActiveSchedulers: a.options.Peers.ActiveSchedulers(ctx),
 	}, nil
 }
--- a/operatorapi/jobs.go
+++ b/operatorapi/jobs.go
@@ -32,7 +32,7 @@
 	if err := a.validateJob(&job); err != nil {
 		return 0, nil, err
 	}
-	status, err := a.settings.Jobs.Submit(ctx, job)
+	status, err := a.options.Jobs.Submit(ctx, job)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -49,7 +49,7 @@
 // validateJob checks a job against the configuration and gives a job without an id a random one. Whether workers can hold
 // the shape is checked by Jobs.
 func (a *API) validateJob(job *jobs.Job) error {
-	doc := a.settings.Configuration.Document()
+	doc := a.options.Configuration.Document()
 	if job.ID == "" {
 		job.ID = uuid.NewString()
 	}
@@ -104,7 +104,7 @@
 	if !validState(state) {
 		return 0, nil, errkind.New(errkind.BadInput, "use a job state such as waiting or running", "unknown job state %q", state)
 	}
-	statuses, err := a.settings.Jobs.List(ctx, account, state)
+	statuses, err := a.options.Jobs.List(ctx, account, state)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -131,7 +131,7 @@
 // exist, so that an account cannot find out the ids of other accounts' jobs.
 func (a *API) accessibleJob(ctx context.Context, r *http.Request, p principal) (jobs.Status, error) {
 	id := r.PathValue("id")
-	status, err := a.settings.Jobs.Get(ctx, id)
+	status, err := a.options.Jobs.Get(ctx, id)
 	if err == nil && !p.canAccess(status.Job.Account) || errkind.Is(err, errkind.NotFound) {
 		return jobs.Status{}, errkind.New(errkind.NotFound, "run redwingctl job list", "there is no job %q", id)
 	}
@@ -165,7 +165,7 @@
 	if _, err := a.accessibleJob(ctx, r, p); err != nil {
 		return 0, nil, err
 	}
-	status, err := a.settings.Jobs.Cancel(ctx, r.PathValue("id"))
+	status, err := a.options.Jobs.Cancel(ctx, r.PathValue("id"))
 	if err != nil {
 		return 0, nil, err
 	}
--- a/operatorapi/respond.go
+++ b/operatorapi/respond.go
@@ -26,15 +26,15 @@
 	a.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		if !a.slots.TryAcquire(1) {
 			a.writeError(w, r, principal{}, errkind.New(errkind.Overloaded, "try again in a moment",
-				"the limit of %d concurrent operator requests is reached", a.settings.MaxConcurrent))
+				"the limit of %d concurrent operator requests is reached", a.options.MaxConcurrent))
 			return
 		}
 		defer a.slots.Release(1)
-		r.Body = http.MaxBytesReader(w, r.Body, a.settings.MaxBodyBytes)
+		r.Body = http.MaxBytesReader(w, r.Body, a.options.MaxBodyBytes)
 		ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 		ctx, span := tracer.Start(ctx, pattern, trace.WithSpanKind(trace.SpanKindServer))
 		defer span.End()
-		ctx, cancel := context.WithTimeout(ctx, a.settings.Timeout)
+		ctx, cancel := context.WithTimeout(ctx, a.options.Timeout)
 		defer cancel()
 		r = r.WithContext(ctx)
 		p, err := a.authenticate(r, s)
@@ -47,7 +47,7 @@
 			a.writeError(w, r, p, err)
 			return
 		}
-		a.settings.Logger.Info().Str("method", r.Method).Str("path", r.URL.Path).Int("status", status).
+		a.options.Logger.Info().Str("method", r.Method).Str("path", r.URL.Path).Int("status", status).
 			Str("operator", p.operator).Str("account", p.account).Str("trace", traceID(ctx)).Msg("operator request")
 		writeJSON(w, status, body)
 	})
@@ -81,7 +81,7 @@
 // writeError logs err and sends it as a typed error response.
 func (a *API) writeError(w http.ResponseWriter, r *http.Request, p principal, err error) {
 	typed := errkind.As(err)
-	a.settings.Logger.Warn().Str("method", r.Method).Str("path", r.URL.Path).Int("status", typed.Kind.Status()).
+	a.options.Logger.Warn().Str("method", r.Method).Str("path", r.URL.Path).Int("status", typed.Kind.Status()).
 		Str("kind", string(typed.Kind)).Str("operator", p.operator).Str("account", p.account).
 		Str("trace", traceID(r.Context())).Msg(typed.Message)
 	body := errorBody{Kind: typed.Kind, Message: typed.Message, Remedy: typed.Remedy, Outcome: outcomeNotRun}
