--- a/cmd/redwingctl/request.go
+++ b/cmd/redwingctl/request.go
@@ -27,12 +27,12 @@
 }
 
 // caller returns a client of the caller API.
-func (inv *invocation) caller() (*operatorclient.Caller, error) {
+func (inv *invocation) caller() (*operatorclient.CallerClient, error) {
 	token, err := inv.token()
 	if err != nil {
 		return nil, err
 	}
-	return operatorclient.NewCaller(inv.options.address, token, inv.options.timeout), nil
+	return operatorclient.NewCallerClient(inv.options.address, token, inv.options.timeout), nil
 }
 
 func request(f *flag.FlagSet) func(*invocation) error {
--- a/operatorclient/caller.go
+++ b/operatorclient/caller.go
@@ -26,16 +26,16 @@
 	outcomeUnknown   = "unknown"
 )
 
-// Caller is a client of the caller API of one gateway. It sends requests on behalf of a client account.
-type Caller struct {
+// CallerClient is a client of the caller API of one gateway. It sends requests on behalf of a client account.
+type CallerClient struct {
 	base  string
 	token string
 	http  *http.Client
 }
 
-// NewCaller returns a client of the caller API at address (host:port). Each request is limited to timeout.
-func NewCaller(address, token string, timeout time.Duration) *Caller {
-	return &Caller{base: "http://" + address, token: token, http: newHTTPClient(timeout)}
+// NewCallerClient returns a client of the caller API at address (host:port). Each request is limited to timeout.
+func NewCallerClient(address, token string, timeout time.Duration) *CallerClient {
+	return &CallerClient{base: "http://" + address, token: token, http: newHTTPClient(timeout)}
 }
 
 // ServiceRequest is one request to a service.
@@ -62,7 +62,7 @@
 }
 
 // NewKey requests a new request key from the gateway.
-func (c *Caller) NewKey(ctx context.Context) (string, error) {
+func (c *CallerClient) NewKey(ctx context.Context) (string, error) {
 	response, raw, err := c.send(ctx, http.MethodPost, "/v1/keys", nil, nil)
 	if err != nil {
 		return "", err
@@ -82,7 +82,7 @@
 
 // Send sends a request to a service. It returns an error for any outcome other than completed; the error has kind
 // errkind.Unknown if the request may have run.
-func (c *Caller) Send(ctx context.Context, request ServiceRequest) (ServiceResponse, error) {
+func (c *CallerClient) Send(ctx context.Context, request ServiceRequest) (ServiceResponse, error) {
 	header := http.Header{}
 	if request.Key != "" {
 		header.Set(headerKey, request.Key)
@@ -135,7 +135,7 @@
 }
 
 // send sends one request and reads the whole response.
-func (c *Caller) send(ctx context.Context, method, path string, header http.Header, body []byte) (*http.Response, []byte, error) {
+func (c *CallerClient) send(ctx context.Context, method, path string, header http.Header, body []byte) (*http.Response, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, nil, errkind.Wrap(err, errkind.BadInput, "check -addr, the method and the path", "request %s %s",
--- a/operatorclient/client_test.go
+++ b/operatorclient/client_test.go
@@ -55,7 +55,7 @@
 	if _, err := New(address, "t", time.Second).Submit(context.Background(), Patch{}); !errkind.Is(err, errkind.Unavailable) {
 		t.Errorf("no listener: got %v", err)
 	}
-	if _, err := NewCaller(address, "t", time.Second).Send(context.Background(), ServiceRequest{Method: "POST"}); !errkind.Is(err, errkind.Unavailable) {
+	if _, err := NewCallerClient(address, "t", time.Second).Send(context.Background(), ServiceRequest{Method: "POST"}); !errkind.Is(err, errkind.Unavailable) {
 		t.Errorf("no listener of the caller API: got %v", err)
 	}
 }
--- a/processtest/system_test.go
+++ b/processtest/system_test.go
@@ -343,8 +343,8 @@
 	return operatorclient.New(v.operators, operatorToken, requestTimeout)
 }
 
-func (s *system) caller(v *vm) *operatorclient.Caller {
-	return operatorclient.NewCaller(v.callers, accountToken, requestTimeout)
+func (s *system) caller(v *vm) *operatorclient.CallerClient {
+	return operatorclient.NewCallerClient(v.callers, accountToken, requestTimeout)
 }
 
 // waitFor polls check until it returns no error and returns the time that this took. It fails the test if check still
