--- a/control/mechanism_test.go
+++ b/control/mechanism_test.go
@@ -30,7 +30,7 @@
 			// Tasks must run for longer than the time during which a gang may run partially.
 			s.faultKinds = []int{4}
 			for _, w := range s.workers {
-				w.extraRunTime = 2 * gang.DifferBound
+				w.extraRunTime = 2 * gang.DivergenceBound
 			}
 			s.options = func(o *Options) { o.withoutLossReports = true }
 		}, "differ since"},
--- a/control/scenario_checks_test.go
+++ b/control/scenario_checks_test.go
@@ -58,7 +58,7 @@
 }
 
 // checkWorkers checks the tasks on the workers: at most one attempt of each job runs, and no gang runs partially for longer
-// than gang.DifferBound.
+// than gang.DivergenceBound.
 func (s *scenario) checkWorkers() {
 	now := time.Now()
 	type view struct {
@@ -97,7 +97,7 @@
 			delete(s.partialSince, id)
 		} else if !ok {
 			s.partialSince[id] = now
-		} else if now.Sub(since) > gang.DifferBound {
+		} else if now.Sub(since) > gang.DivergenceBound {
 			s.recordViolation("members of %v differ since %s: %+v", id, since.Sub(s.start), *v)
 			s.partialSince[id] = now
 		}
--- a/gang/gang.go
+++ b/gang/gang.go
@@ -36,8 +36,8 @@
 	LossCheckpointBound = 5 * time.Second
 	// StopBound limits the time until the members on reachable workers have stopped, including their checkpoints.
 	StopBound = LossCheckpointBound + 5*time.Second
-	// DifferBound limits the time during which some members run while others do not.
-	DifferBound = TaskLease + StopBound
+	// DivergenceBound limits the time during which some members run while others do not.
+	DivergenceBound = TaskLease + StopBound
 	// repeatInterval is the time after which an acknowledged command that has had no visible effect is sent again. It
 	// bounds the delay until a member is known to be resident, which is part of the 1.8 s that an urgent job has to start.
 	repeatInterval = 250 * time.Millisecond
@@ -273,7 +273,7 @@
 	return !g.all(func(m *member) bool { return !ok(m) })
 }
 
-// checkDivergence asserts P2: a gang runs partially for at most DifferBound. Completed members do not count, since the
+// checkDivergence asserts P2: a gang runs partially for at most DivergenceBound. Completed members do not count, since the
 // tasks of a gang may end at different times. Neither do unseen members, whose state is not known yet.
 func (g *Gang) checkDivergence(now time.Time) {
 	anyRunning := g.any((*member).running)
@@ -287,6 +287,6 @@
 	if g.divergedSince.IsZero() {
 		g.divergedSince = now
 	}
-	invariant.Check(now.Sub(g.divergedSince) <= DifferBound, invariant.GangAllOrNothing,
+	invariant.Check(now.Sub(g.divergedSince) <= DivergenceBound, invariant.GangAllOrNothing,
 		"members of job %s attempt %d differ since %s", g.job.ID, g.attempt, g.divergedSince)
 }
--- a/gang/gang_test.go
+++ b/gang/gang_test.go
@@ -334,7 +334,7 @@
 }
 
 // TestAssertionNoticesPartialGang guards against an assertion of P2 that never records a violation, and against one that
-// does so within DifferBound.
+// does so within DivergenceBound.
 func TestAssertionNoticesPartialGang(t *testing.T) {
 	var log invariant.Log
 	defer invariant.SetRecorder(log.Record)()
@@ -343,11 +343,11 @@
 	c.g.members[0].state = infra.TaskHeld
 	c.g.phase = PhaseRunning
 	c.g.checkDivergence(c.now)
-	c.g.checkDivergence(c.now.Add(DifferBound))
+	c.g.checkDivergence(c.now.Add(DivergenceBound))
 	if len(log.Violations()) != 0 {
 		t.Fatal("violation recorded within the bound")
 	}
-	c.g.checkDivergence(c.now.Add(DifferBound + time.Millisecond))
+	c.g.checkDivergence(c.now.Add(DivergenceBound + time.Millisecond))
 	if len(log.Violations()) != 1 {
 		t.Fatal("no violation recorded after the bound")
 	}
--- a/processtest/outages_test.go
+++ b/processtest/outages_test.go
@@ -184,7 +184,7 @@
 		t.Logf("%s observed %v after the workers became silent", what, time.Since(silencedAt))
 	}
 	for job := range silencedWorkers {
-		waitWithoutOverlap("stop of "+job, gang.DifferBound-time.Since(silencedAt), func() error {
+		waitWithoutOverlap("stop of "+job, gang.DivergenceBound-time.Since(silencedAt), func() error {
 			if running := s.runningOn(job)[firstAttempts[job]]; len(running) > 0 {
 				return fmt.Errorf("%s runs on %v", job, running)
 			}
