--- a/configlog/append.go
+++ b/configlog/append.go
@@ -7,9 +7,9 @@
 	"github.com/redwingthread/redwingthread/infra"
 )
 
-// appendSnapshotIfDue appends a snapshot if one is due, the log has been read to its end and the random delay has
-// passed. A snapshot of another process that is read during the delay cancels it, because no snapshot is due any
-// longer.
+// appendSnapshotIfDue starts the append of a snapshot if one is due, the log has been read to its end and the random
+// delay has passed. A snapshot of another process that is read during the delay cancels the append, because no snapshot
+// is due any longer.
 func (f *Follower) appendSnapshotIfDue(ctx context.Context, resp infra.ReadResponse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -34,6 +34,7 @@
 	go f.appendSnapshot(ctx, record)
 }
 
+// appendSnapshot appends a snapshot record, logs the result and keeps the error for Status.
 func (f *Follower) appendSnapshot(ctx context.Context, record Record) {
 	err := f.append(ctx, record, 2*f.options.CallTimeout)
 	f.options.Logger.Info().Err(err).Uint64("version", record.Snapshot.Version).Uint64("offset", record.Snapshot.Offset).
--- a/configlog/catchup.go
+++ b/configlog/catchup.go
@@ -30,7 +30,8 @@
 }
 
 // findInitialState sets the first state from the log or from a peer. A complete log suffices. If the log is empty or
-// truncated, it queries the peers before it concludes that there is no configuration.
+// truncated, it queries the peers before it concludes that there is no configuration. It returns an error if no state
+// could be set yet.
 func (f *Follower) findInitialState(ctx context.Context, resp infra.ReadResponse) error {
 	if resp.Oldest == 0 && resp.Next > 0 {
 		f.setInitialState(NewState(), resp.Next)
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// setInitialState sets the first state, unless the state of a peer has been adopted in the meantime. tail is the end of
-// the log.
+// setInitialState sets the first state, unless the state of a peer has been adopted in the meantime. tail becomes
+// startTail: the next offset of the log if records before it must still be folded, otherwise 0.
 func (f *Follower) setInitialState(state *State, tail uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,7 +70,7 @@
 		return
 	}
 	f.state = state
-	f.startTail, f.startedAt = tail, time.Now()
+	f.startTail, f.initialStateAt = tail, time.Now()
 	f.gapSince = time.Time{}
 	f.notifyWaiters()
 	f.publish()
@@ -98,8 +99,9 @@
 	}
 }
 
-// closeGap continues after the next records have expired unread. It uses the records or the state of a peer, otherwise
-// a snapshot in the log, otherwise, after GapGrace, the current state.
+// closeGap continues the fold after the next records have expired unread. It uses the records or the state of a peer,
+// otherwise a snapshot in the log. If there is none, it continues with the current state once canSkipGap allows it, and
+// returns an error until then.
 func (f *Follower) closeGap(ctx context.Context, oldest uint64) error {
 	f.fetchRecordsFromPeers(ctx)
 	if f.nextOffset() >= oldest || f.fetchStateFromPeers(ctx) {
@@ -141,7 +143,8 @@
 	return missing >= f.options.IsolatedGapGrace || f.confirmNoPeerAhead(ctx)
 }
 
-// gapAge returns how long the next records have been missing from the log. The first call starts the measurement.
+// gapAge returns how long the next records have been missing from the log. Its first call after the records were found
+// missing starts the measurement.
 func (f *Follower) gapAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -161,8 +164,8 @@
 	}) == len(peers)
 }
 
-// syncWithPeers queries peers while the log does not respond, while there is no configuration, and after a heartbeat
-// that reports a higher offset.
+// syncWithPeers runs until ctx ends. It queries peers while the log does not respond, while there is no configuration,
+// and after a heartbeat that reports a higher offset.
 func (f *Follower) syncWithPeers(ctx context.Context) {
 	ticker := time.NewTicker(f.options.PeerPeriod)
 	defer ticker.Stop()
@@ -175,7 +178,7 @@
 		if !f.needsPeerSync() {
 			continue
 		}
-		if f.started() && f.Document() != nil {
+		if f.hasState() && f.Document() != nil {
 			f.fetchRecordsFromPeers(ctx)
 		} else {
 			f.fetchStateFromPeers(ctx)
@@ -222,7 +225,7 @@
 	return peers[:min(len(peers), peersPerRound)]
 }
 
-// queryPeers calls query for all peers concurrently, each with its own timeout, and returns how many calls returned
+// queryPeers runs query for all peers concurrently, each with its own timeout, and returns how many queries returned
 // true.
 func (f *Follower) queryPeers(ctx context.Context, peers []Peer, query func(context.Context, Peer) bool) int {
 	results := make(chan bool, len(peers))
@@ -242,8 +245,9 @@
 	return count
 }
 
-// fetchRecordsFromPeers folds the records after the state that peers hold, or adopts the state of a peer that no longer
-// holds them. If all queried peers respond and none has more, it clears the hint; the next heartbeat sets it again.
+// fetchRecordsFromPeers queries random peers for the records that follow the state and folds them. It adopts the state
+// of a peer that no longer has these records cached. If all queried peers respond and none has more, it clears hint;
+// the next heartbeat sets it again.
 func (f *Follower) fetchRecordsFromPeers(ctx context.Context) {
 	peers := f.randomPeers()
 	before := f.nextOffset()
@@ -298,8 +302,9 @@
 	}) == len(peers)
 }
 
-// FetchRecords returns cached records for a peer, starting at req.From. If the cache does not reach back that far, the
-// response has no records and its Oldest is above req.From.
+// FetchRecords returns up to req.Limit cached records for a peer, starting at offset req.From. If the cache does not
+// reach back that far, the response has no records and its Oldest is above req.From. The response is empty if there is
+// no state yet.
 func (f *Follower) FetchRecords(req inner.FetchRecords) inner.FetchRecordsResponse {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -310,13 +315,14 @@
 	return f.recordCache.fetch(req.From, f.state.Next, limit)
 }
 
-// FetchState returns the encoded state for a peer. It is empty if there is no configuration.
+// FetchState returns the encoded state for a peer. It is empty if there is no configuration. An error has the kind
+// Internal.
 func (f *Follower) FetchState() (inner.FetchStateResponse, error) {
 	raw, err := EncodeState(f.State())
 	return inner.FetchStateResponse{State: raw}, err
 }
 
-// recordCache holds the newest records for peers. Their offsets are contiguous.
+// recordCache holds the newest folded records for peers. Their offsets are contiguous. bytes is the size of their data.
 type recordCache struct {
 	records []infra.Record
 	bytes   int
--- a/configlog/check_test.go
+++ b/configlog/check_test.go
@@ -16,7 +16,9 @@
 
 // reference holds the outcomes that follow from the order of the log's records. It is computed without State.
 type reference struct {
-	version  uint64
+	// version is the version after the last record.
+	version uint64
+	// ids holds the decision about each patch, by the id of the patch.
 	ids      map[string]expectedDecision
 	accepted []acceptedPatch
 	// skippedPatches counts the patches in records that expired unread.
@@ -31,13 +33,14 @@
 type acceptedPatch struct {
 	id      string
 	version uint64
-	at      time.Time
+	// at is the time of the append. After a gap it is the time at which the version was first in force.
+	at time.Time
 	// afterGap marks a record that no process could fold before the gap preceding it was closed.
 	afterGap bool
 }
 
 // expectedOutcomes returns the outcomes that follow from all records of the log, including expired ones. Records in a
-// skipped range have no effect.
+// skipped range have no effect. valid tells for each submitted patch id whether the patch is valid.
 func (c *cluster) expectedOutcomes(valid map[string]bool) *reference {
 	ref := &reference{ids: map[string]expectedDecision{}}
 	initialised := false
@@ -64,7 +67,7 @@
 			if initialised && r.Patch.Base == ref.version && valid[r.Patch.ID] {
 				ref.version++
 				ref.ids[r.Patch.ID] = expectedDecision{Accepted, ref.version}
-				ref.accepted = append(ref.accepted, acceptedPatch{r.Patch.ID, ref.version, c.log.times[i], afterGap[i]})
+				ref.accepted = append(ref.accepted, acceptedPatch{r.Patch.ID, ref.version, c.log.appendTimes[i], afterGap[i]})
 			}
 		}
 	}
@@ -90,11 +93,12 @@
 	return inSkippedRange, afterGap
 }
 
-// firstInForce returns the first time at which any follower had a version in force.
+// firstInForce returns the first time at which any follower had this or a higher version in force, or the current time
+// if none had.
 func (c *cluster) firstInForce(version uint64) time.Time {
 	first := time.Now()
-	for _, run := range c.incarnations {
-		for _, s := range run.versions {
+	for _, inc := range c.incarnations {
+		for _, s := range inc.publications {
 			if s.version >= version && s.at.Before(first) {
 				first = s.at
 			}
@@ -131,10 +135,10 @@
 		}
 		expected := ref.ids[op.id]
 		if d.Outcome == Accepted && expected != (expectedDecision{Accepted, d.Version}) {
-			c.addViolation("%s %s was reported as accepted as version %d, the log says %v", op.kind, op.id, d.Version, expected)
+			c.addViolation("%s %s was reported as accepted as version %d, but the log yields %v", op.kind, op.id, d.Version, expected)
 		}
 		if d.Outcome == Refused && expected.outcome == Accepted {
-			c.addViolation("%s %s was reported as refused (%v), the log says accepted as version %d",
+			c.addViolation("%s %s was reported as refused (%v), but the log yields accepted as version %d",
 				op.kind, op.id, d.Err(), expected.version)
 		}
 	}
@@ -144,15 +148,15 @@
 // that all followers end with the version that follows from the log.
 func (c *cluster) checkFollowers(ref *reference) {
 	digests := map[uint64]uint64{}
-	for _, run := range c.incarnations {
+	for _, inc := range c.incarnations {
 		last := uint64(0)
-		for _, s := range run.versions {
+		for _, s := range inc.publications {
 			if s.version < last {
-				c.addViolation("node %d went from version %d back to %d", run.node.id, last, s.version)
+				c.addViolation("node %d went from version %d back to %d", inc.node.id, last, s.version)
 			}
 			last = s.version
 			if knownDigest, ok := digests[s.version]; ok && knownDigest != s.digest {
-				c.addViolation("node %d holds another version %d than others", run.node.id, s.version)
+				c.addViolation("node %d holds another version %d than others: the digests of the documents differ", inc.node.id, s.version)
 			}
 			digests[s.version] = s.digest
 		}
@@ -164,7 +168,7 @@
 		}
 		status := f.Status()
 		if !status.HasConfig || status.Version != ref.version || status.Stopped != nil || status.Alarm != "" {
-			c.addViolation("node %d ends with version %d (stopped %v, alarm %q, log error %q), the log says %d",
+			c.addViolation("node %d ends with version %d (stopped %v, alarm %q, log error %q), but the log yields version %d",
 				n.id, status.Version, status.Stopped, status.Alarm, status.LogError, ref.version)
 		}
 	}
@@ -177,21 +181,21 @@
 			ref.accepted[i].at = c.firstInForce(a.version)
 		}
 	}
-	for _, run := range c.incarnations {
+	for _, inc := range c.incarnations {
 		for _, a := range ref.accepted {
 			from := a.at
-			if run.start.After(from) {
-				from = run.start
+			if inc.start.After(from) {
+				from = inc.start
 			}
-			from, ok := run.reachableFor(from, inForceBound)
+			from, ok := inc.reachableFor(from, inForceBound)
 			// The log must have retained the record during the complete window.
 			if !ok || from.Add(inForceBound).After(a.at.Add(testRetention)) {
 				continue
 			}
-			at := slices.IndexFunc(run.versions, func(s publication) bool { return s.version >= a.version })
-			if at < 0 || run.versions[at].at.Sub(from) > inForceBound {
+			at := slices.IndexFunc(inc.publications, func(s publication) bool { return s.version >= a.version })
+			if at < 0 || inc.publications[at].at.Sub(from) > inForceBound {
 				c.addViolation("node %d, reachable since %v, did not have version %d, accepted at %v, in force within %v",
-					run.node.id, from, a.version, a.at, inForceBound)
+					inc.node.id, from, a.version, a.at, inForceBound)
 				continue
 			}
 			if from.Equal(a.at) {
@@ -199,14 +203,14 @@
 				if strings.HasPrefix(a.id, burstPrefix) {
 					into = &res.burstDelays
 				}
-				*into = append(*into, max(0, run.versions[at].at.Sub(a.at)))
+				*into = append(*into, max(0, inc.publications[at].at.Sub(a.at)))
 			}
 		}
 	}
 }
 
-// reachableFor returns the earliest time, not before from, since which the incarnation was running and reachable for d,
-// and false if there is none.
+// reachableFor returns the earliest time, not before from, since which the incarnation was running and reachable for at
+// least d. The bool result is false if there is no such time.
 func (i *incarnation) reachableFor(from time.Time, d time.Duration) (time.Time, bool) {
 	first := int(from.Sub(i.start) / sampleInterval)
 	needed := int(d/sampleInterval) + 2
--- a/configlog/cluster_test.go
+++ b/configlog/cluster_test.go
@@ -37,14 +37,15 @@
 	violations   []string
 }
 
-// options configures the faults of a run and disables mechanisms in runs that must fail.
+// options configures the faults of a run. Tests that verify that a check is effective also disable mechanisms with it.
 type options struct {
 	duration time.Duration
 	// latePercent is the percentage of late appends; 0 selects a random one.
 	latePercent int
 	// noPeers removes all peers. appendErrorIsRefusal makes submissions treat a failed append as a refusal.
 	noPeers, appendErrorIsRefusal bool
-	// drop is set in the fakeLog. rewrite is applied to all records that the nodes of failure domain 1 read.
+	// drop selects records that the log discards although the append succeeds; nil selects none. rewrite changes the
+	// records that the nodes of failure domain 1 read; nil changes none.
 	drop    func(Record) bool
 	rewrite func(*node, Record) Record
 }
@@ -53,13 +54,13 @@
 type incarnation struct {
 	node       *node
 	start, end time.Time
-	// versions holds the published documents in order.
-	versions []publication
-	// reachableSamples holds one sample for each sampleInterval after start.
+	// publications holds the publications in order.
+	publications []publication
+	// reachableSamples holds the results of cluster.reachable, one for each sampleInterval after start.
 	reachableSamples []bool
 }
 
-// publication is the publication of a document by a follower.
+// publication records when a follower put a document in force, with the version and digest of the document.
 type publication struct {
 	at      time.Time
 	version uint64
@@ -81,7 +82,7 @@
 	c.withLock(func() { c.violations = append(c.violations, fmt.Sprintf(format, args...)) })
 }
 
-func (c *cluster) connected(a, b *node) (ok bool) {
+func (c *cluster) linked(a, b *node) (ok bool) {
 	c.withLock(func() { ok = !c.cut[a.domain][b.domain] })
 	return ok
 }
@@ -96,7 +97,7 @@
 	c.log.drop = o.drop
 	for i := range domainCount * nodesPerDomain {
 		n := &node{id: i, domain: i % domainCount, cluster: c}
-		n.logClient = &logClient{log: c.log, connected: func() bool { return c.reachesLog(n.domain) }}
+		n.logClient = &logClient{log: c.log, reachesLog: func() bool { return c.reachesLog(n.domain) }}
 		if o.rewrite != nil && n.domain == 1 {
 			n.logClient.rewrite = recordRewriter(func(r Record) Record { return o.rewrite(n, r) })
 		}
@@ -121,18 +122,18 @@
 			return peers
 		},
 	})
-	run := &incarnation{node: n, start: time.Now()}
-	c.withLock(func() { c.incarnations = append(c.incarnations, run) })
+	inc := &incarnation{node: n, start: time.Now()}
+	c.withLock(func() { c.incarnations = append(c.incarnations, inc) })
 	n.mu.Lock()
 	n.follower, n.stop = f, cancel
-	n.incarnation++
+	n.incarnationCount++
 	n.mu.Unlock()
 	group.Go(func() { _ = f.Run(ctx) })
-	group.Go(func() { c.observe(ctx, run, f) })
+	group.Go(func() { c.observe(ctx, inc, f) })
 }
 
 // observe records the documents that f publishes and samples whether its node can receive new ones.
-func (c *cluster) observe(ctx context.Context, run *incarnation, f *Follower) {
+func (c *cluster) observe(ctx context.Context, inc *incarnation, f *Follower) {
 	documents, stop := f.Subscribe()
 	defer stop()
 	ticker := time.NewTicker(sampleInterval)
@@ -140,20 +141,21 @@
 	for {
 		select {
 		case <-ctx.Done():
-			run.end = time.Now()
+			inc.end = time.Now()
 			return
 		case doc := <-documents:
-			run.versions = append(run.versions, publication{time.Now(), doc.Version, config.Digest(doc)})
+			inc.publications = append(inc.publications, publication{time.Now(), doc.Version, config.Digest(doc)})
 		case <-ticker.C:
-			run.reachableSamples = append(run.reachableSamples, c.reachable(run.node))
+			inc.reachableSamples = append(inc.reachableSamples, c.reachable(inc.node))
 		}
 	}
 }
 
-// reachable reports whether n reaches the log or a running node that reaches the log.
+// reachable reports whether n reaches the log or a running node that reaches the log. It is false while the log is down
+// or delays requests by more than 1 s, since inForceBound applies only while the log responds.
 func (c *cluster) reachable(n *node) bool {
 	var down bool
-	c.log.withLock(func() { down = c.log.down || c.log.slow > time.Second })
+	c.log.withLock(func() { down = c.log.down || c.log.extraDelay > time.Second })
 	if down {
 		return false
 	}
@@ -161,7 +163,7 @@
 		return true
 	}
 	for _, other := range c.nodes {
-		if other != n && other.current() != nil && c.connected(n, other) && c.reachesLog(other.domain) {
+		if other != n && other.current() != nil && c.linked(n, other) && c.reachesLog(other.domain) {
 			return true
 		}
 	}
--- a/configlog/detection_test.go
+++ b/configlog/detection_test.go
@@ -34,12 +34,12 @@
 					}
 				}
 			}
-			t.Errorf("no violation contains %q; the last run had %d other violations", c.wantText, len(found))
+			t.Errorf("no violation of five runs contains %q; the last run had %d other violations", c.wantText, len(found))
 		})
 	}
 }
 
-// rebaseEveryPatch sets the base of every patch to the version that the reader has in force.
+// rebaseEveryPatch sets the base of every patch to the version that the reading node has in force.
 func rebaseEveryPatch(n *node, r Record) Record {
 	if f := n.current(); r.Patch != nil && f != nil && f.Document() != nil {
 		r.Patch.Base = f.Document().Version
@@ -60,8 +60,8 @@
 	return r
 }
 
-// TestWithdrawalCatches verifies that the withdrawal is what prevents a patch that arrives late from taking effect: the
-// patch takes effect on node 1, which ignores withdrawals, and not on node 0.
+// TestWithdrawalCatches verifies that it is the withdrawal that prevents a patch appended after it from taking effect:
+// the patch takes effect on node 1, which reads no withdrawals, and not on node 0.
 func TestWithdrawalCatches(t *testing.T) {
 	withTestCluster(t, options{rewrite: dropWithdrawals}, func(t *testing.T, tc *testCluster) {
 		tc.startNodes(0, 1)
@@ -70,7 +70,7 @@
 		tc.appendUnseen(new(stream).patch("p-1", 0))
 		time.Sleep(time.Second)
 		if with, without := tc.versionAt(0), tc.versionAt(1); with != 0 || without != 1 {
-			t.Errorf("version %d with withdrawals, %d without", with, without)
+			t.Errorf("version %d with withdrawals, want 0; version %d without, want 1", with, without)
 		}
 	})
 }
--- a/configlog/fake_test.go
+++ b/configlog/fake_test.go
@@ -13,27 +13,32 @@
 	"github.com/redwingthread/redwingthread/inner"
 )
 
-var errUnreachable = errkind.Wrap(errors.New("injected fault"), errkind.Unavailable, "try again", "not reachable")
+// errRequestFailed is the error of every request to the log that fails by an injected fault, so that a client cannot
+// distinguish a lost response from an outage.
+var errRequestFailed = errkind.Wrap(errors.New("injected fault"), errkind.Unavailable, "try again", "request to the log failed")
 
-// fakeLog simulates the log service with limited retention, outages, lost responses, late appends and unresponsive
-// connections. All followers of a run share it.
+// fakeLog simulates the log service with limited retention, outages, lost responses, late appends and reads without a
+// response. All followers of a run share it.
 type fakeLog struct {
 	mu sync.Mutex
 	// rng and everything below is guarded by mu.
 	rng       *rand.Rand
 	retention time.Duration
-	records   []infra.Record
-	times     []time.Time
-	oldest    uint64
-	// down makes all requests fail. silent makes reads hang instead of failing while the log is down.
-	down, silent bool
-	slow         time.Duration
+	// records holds all records, expired ones too, and appendTimes the times of their appends. oldest is the offset of the
+	// oldest record that has not expired.
+	records     []infra.Record
+	appendTimes []time.Time
+	oldest      uint64
+	// down makes all requests fail. hangWhenDown makes reads hang instead of failing while the log is down.
+	down, hangWhenDown bool
+	// extraDelay is an additional delay of every request and response.
+	extraDelay time.Duration
 	// lossPercent is the percentage of appends whose response is lost, latePercent that of appends that fail and take
 	// effect up to 20 s later, and hangPercent that of reads that get no response.
 	lossPercent, latePercent, hangPercent int
-	appended                              chan struct{}
-	// drop selects records that are discarded although the append succeeds; nil selects none. Only runs that must fail
-	// set it.
+	// appended is closed and replaced at every append.
+	appended chan struct{}
+	// drop is options.drop.
 	drop func(Record) bool
 }
 
@@ -47,7 +52,7 @@
 	f()
 }
 
-// add appends records and returns the offset of the first. The caller must hold mu.
+// add appends records and returns the offset of the first. mu must be held.
 func (l *fakeLog) add(records [][]byte) uint64 {
 	first := uint64(len(l.records))
 	for _, data := range records {
@@ -55,16 +60,16 @@
 			continue
 		}
 		l.records = append(l.records, infra.Record{Offset: uint64(len(l.records)), Data: data})
-		l.times = append(l.times, time.Now())
+		l.appendTimes = append(l.appendTimes, time.Now())
 	}
 	close(l.appended)
 	l.appended = make(chan struct{})
 	return first
 }
 
-// expire moves oldest past the records that are older than the retention. The caller must hold mu.
+// expire moves oldest past the records that are older than the retention. mu must be held.
 func (l *fakeLog) expire() {
-	for l.oldest < uint64(len(l.records)) && time.Since(l.times[l.oldest]) > l.retention {
+	for l.oldest < uint64(len(l.records)) && time.Since(l.appendTimes[l.oldest]) > l.retention {
 		l.oldest++
 	}
 }
@@ -72,67 +77,68 @@
 // logClient is the infra.Log of one follower.
 type logClient struct {
 	log *fakeLog
-	// connected reports whether the network connects the follower to the log.
-	connected func() bool
-	// rewrite changes the records that this follower reads; nil changes none. Only runs that must fail set it.
+	// reachesLog reports whether the network connects the follower to the log.
+	reachesLog func() bool
+	// rewrite changes the records that this follower reads; nil changes none.
 	rewrite func(infra.Record) infra.Record
-	// hung is set if the last read got no response; guarded by log.mu.
+	// hung reports whether the last read got no response. log.mu guards it.
 	hung bool
 }
 
-func (p *logClient) delay(ctx context.Context) {
+// delay waits for the network delay and the additional delay of the log, or until ctx ends.
+func (c *logClient) delay(ctx context.Context) {
 	var d time.Duration
-	p.log.withLock(func() { d = p.log.slow + time.Duration(1+p.log.rng.Int64N(30))*time.Millisecond })
+	c.log.withLock(func() { d = c.log.extraDelay + time.Duration(1+c.log.rng.Int64N(30))*time.Millisecond })
 	boottime.Sleep(ctx, d)
 }
 
-func (p *logClient) Append(ctx context.Context, _ string, records [][]byte) (uint64, error) {
-	p.delay(ctx)
-	l := p.log
+func (c *logClient) Append(ctx context.Context, _ string, records [][]byte) (uint64, error) {
+	c.delay(ctx)
+	l := c.log
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if ctx.Err() != nil || l.down || !p.connected() {
-		return 0, errUnreachable
+	if ctx.Err() != nil || l.down || !c.reachesLog() {
+		return 0, errRequestFailed
 	}
 	draw := l.rng.IntN(100)
 	if draw < l.latePercent {
 		late := time.Duration(l.rng.Int64N(int64(20 * time.Second)))
 		time.AfterFunc(late, func() { l.withLock(func() { l.add(records) }) })
-		return 0, errUnreachable
+		return 0, errRequestFailed
 	}
 	first := l.add(records)
 	if draw < l.latePercent+l.lossPercent {
-		return 0, errUnreachable
+		return 0, errRequestFailed
 	}
 	return first, nil
 }
 
-func (p *logClient) Read(ctx context.Context, _ string, from uint64, limit, waitMS int) (infra.ReadResponse, error) {
+func (c *logClient) Read(ctx context.Context, _ string, from uint64, limit, waitMS int) (infra.ReadResponse, error) {
 	deadline := time.Now().Add(time.Duration(waitMS) * time.Millisecond)
-	p.delay(ctx)
+	c.delay(ctx)
 	for {
-		l := p.log
+		l := c.log
 		l.mu.Lock()
-		if l.down || !p.connected() {
-			silent := l.down && l.silent
+		if l.down || !c.reachesLog() {
+			hangs := l.down && l.hangWhenDown
 			l.mu.Unlock()
-			if silent {
+			if hangs {
 				<-ctx.Done()
 			}
-			return infra.ReadResponse{}, errUnreachable
+			return infra.ReadResponse{}, errRequestFailed
 		}
 		// The read after one without a response always gets a response, as over a new connection.
-		if !p.hung && l.rng.IntN(100) < l.hangPercent {
-			p.hung = true
+		if !c.hung && l.rng.IntN(100) < l.hangPercent {
+			c.hung = true
 			l.mu.Unlock()
 			<-ctx.Done()
 			return infra.ReadResponse{}, ctx.Err()
 		}
-		p.hung = false
-		resp, appended := p.readNow(from, limit), l.appended
+		c.hung = false
+		resp, appended := c.readNow(from, limit), l.appended
 		l.mu.Unlock()
 		if len(resp.Records) > 0 || !time.Now().Before(deadline) {
-			p.delay(ctx)
+			c.delay(ctx)
 			return resp, ctx.Err()
 		}
 		timer := time.NewTimer(time.Until(deadline))
@@ -148,36 +154,36 @@
 	}
 }
 
-// readNow returns the available records without waiting. The caller must hold log.mu.
-func (p *logClient) readNow(from uint64, limit int) infra.ReadResponse {
-	l := p.log
+// readNow returns the available records without waiting. log.mu must be held.
+func (c *logClient) readNow(from uint64, limit int) infra.ReadResponse {
+	l := c.log
 	l.expire()
 	next := uint64(len(l.records))
 	resp := infra.ReadResponse{Oldest: l.oldest, Next: next}
 	for o := max(from, l.oldest); o < next && len(resp.Records) < limit; o++ {
 		r := l.records[o]
-		if p.rewrite != nil {
-			r = p.rewrite(r)
+		if c.rewrite != nil {
+			r = c.rewrite(r)
 		}
 		resp.Records = append(resp.Records, r)
 	}
 	return resp
 }
 
-// node is one VM of a run with the follower of its current incarnation.
+// node is one process of a run with the Follower of its current incarnation. A restart starts a new incarnation.
 type node struct {
 	id, domain int
 	cluster    *cluster
 	logClient  *logClient
 
 	mu sync.Mutex
-	// follower is nil while the VM is down. mu guards it and the fields below.
-	follower    *Follower
-	stop        context.CancelFunc
-	incarnation int
+	// follower is nil while the node is down. mu guards it and the fields below.
+	follower         *Follower
+	stop             context.CancelFunc
+	incarnationCount int
 }
 
-// current returns the follower of the current incarnation, nil while the VM is down.
+// current returns the follower of the current incarnation, nil while the node is down.
 func (n *node) current() *Follower {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -189,10 +195,10 @@
 
 // Call returns the response of the other node's follower after a network delay. It blocks until ctx ends if the other
 // node is down or not reachable.
-func (l peerLink) Call(ctx context.Context, _ string, req *inner.Request) (*inner.Response, error) {
-	boottime.Sleep(ctx, time.Duration(1+l.from.cluster.randomInt(5))*time.Millisecond)
-	f := l.to.current()
-	if f == nil || !l.from.cluster.connected(l.from, l.to) {
+func (p peerLink) Call(ctx context.Context, _ string, req *inner.Request) (*inner.Response, error) {
+	boottime.Sleep(ctx, time.Duration(1+p.from.cluster.randomInt(5))*time.Millisecond)
+	f := p.to.current()
+	if f == nil || !p.from.cluster.linked(p.from, p.to) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
--- a/configlog/follower.go
+++ b/configlog/follower.go
@@ -69,7 +69,7 @@
 	defaultSnapshotJitter   = 10 * time.Second
 	defaultRecordCacheBytes = 2 << 20
 	defaultRetention        = 24 * time.Hour
-	// defaultEveryRecords limits the time of the fold at start; a record takes 2 to 3 ms at the planned size.
+	// defaultEveryRecords keeps the fold at start below 1 s: at the planned size a record takes 2 to 3 ms.
 	defaultEveryRecords = 250
 )
 
@@ -111,10 +111,11 @@
 	// state is nil until an initial state was found. mu guards it and the fields from here to snapshotError.
 	state *State
 	// changed is closed and replaced whenever state changes.
-	changed     chan struct{}
-	subscribers map[int]chan *config.Document
-	nextID      int
-	recordCache recordCache
+	changed chan struct{}
+	// subscribers holds the channel of each subscription, by the number of the subscription.
+	subscribers    map[int]chan *config.Document
+	nextSubscriber int
+	recordCache    recordCache
 	// lastRead is the time of the last successful read of the log. logError is the error of the last read, nil if it
 	// succeeded. logTail is the next offset of the log in the last response.
 	lastRead time.Time
@@ -124,14 +125,17 @@
 	alarm string
 	// hint is the highest next offset that a peer has reported, 0 if none is pending.
 	hint uint64
-	// startTail is the end of the log when the initial state was found there. Documents before it are outdated and are
-	// not published until maxStartHold after startedAt.
-	startTail uint64
-	startedAt time.Time
+	// startTail is the next offset of the log when the initial state was found there, at initialStateAt. The first
+	// document is not published before the records up to startTail are folded or maxStartHold has passed, because it
+	// may be outdated.
+	startTail      uint64
+	initialStateAt time.Time
 	// gapSince is the time at which the next records were first missing from the log; zero if they are not missing.
 	gapSince time.Time
 	// nextSnapshotAt is the time of the next append of a snapshot; zero if none is scheduled.
-	nextSnapshotAt    time.Time
+	nextSnapshotAt time.Time
+	// appendingSnapshot is true while an append of a snapshot is in progress. snapshotError is the error of the last
+	// append of a snapshot that has finished, nil if it succeeded.
 	appendingSnapshot bool
 	snapshotError     error
 
@@ -139,6 +143,7 @@
 	// of a mutex because the virtual time of tests does not advance while a goroutine waits for a mutex.
 	handlerLock chan struct{}
 
+	// peerSyncRequested contains a value if syncWithPeers must run its next round without waiting for the ticker.
 	peerSyncRequested chan struct{}
 	random            random
 }
@@ -179,12 +184,12 @@
 func (f *Follower) Document() *config.Document { return f.doc.Load() }
 
 // Subscribe returns a channel that receives the document in force and then each new one. A slow reader may miss
-// intermediate versions, but never the newest. stop ends the subscription.
+// intermediate versions, but never the newest. stop ends the subscription; it does not close the channel.
 func (f *Follower) Subscribe() (documents <-chan *config.Document, stop func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	id := f.nextID
-	f.nextID++
+	id := f.nextSubscriber
+	f.nextSubscriber++
 	c := make(chan *config.Document, 1)
 	f.subscribers[id] = c
 	if doc := f.doc.Load(); doc != nil {
@@ -197,7 +202,7 @@
 	}
 }
 
-// State returns a copy of the folded state, nil if there is none.
+// State returns a copy of the folded state, nil if no initial state has been found yet.
 func (f *Follower) State() *State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,7 +222,7 @@
 	return ctx.Err()
 }
 
-// followLog reads the log, with a backoff after errors.
+// followLog reads the log until ctx ends, with a backoff after errors.
 func (f *Follower) followLog(ctx context.Context) {
 	const firstBackoff, maxBackoff = 100 * time.Millisecond, time.Second
 	backoff := firstBackoff
@@ -233,9 +238,9 @@
 	}
 }
 
-// followSlowLog reads with a much longer timeout while the reads of followLog fail. Records are thus still read, though
-// late, if the log stays slow for a long time, and an unresponsive connection does not keep followLog from trying
-// others.
+// followSlowLog reads with a much longer timeout while the reads of followLog fail, until ctx ends. If the log stays
+// slow for a long time, records are therefore still read, although late. An unresponsive connection does not keep
+// followLog from trying others.
 func (f *Follower) followSlowLog(ctx context.Context) {
 	const slowReadTimeout = 30 * time.Second
 	for ctx.Err() == nil {
@@ -249,11 +254,11 @@
 	}
 }
 
-// readOnce reads once, waiting up to wait for records, and handles the response. margin is the additional time for the
-// response. It returns and logs the error.
+// readOnce reads once and handles the response. wait is the time for which the log may wait for records, and margin is
+// the additional time for the response. readOnce logs the error and returns it.
 func (f *Follower) readOnce(ctx context.Context, wait, margin time.Duration) error {
 	from := f.nextOffset()
-	if !f.started() {
+	if !f.hasState() {
 		wait = 0
 	}
 	resp, err := f.read(ctx, from, wait, margin)
@@ -288,7 +293,7 @@
 	f.mu.Lock()
 	f.logTail = resp.Next
 	f.mu.Unlock()
-	if !f.started() {
+	if !f.hasState() {
 		return f.findInitialState(ctx, resp)
 	}
 	next := f.nextOffset()
@@ -330,7 +335,8 @@
 	return err
 }
 
-func (f *Follower) started() bool {
+// hasState reports whether an initial state has been found.
+func (f *Follower) hasState() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.state != nil
@@ -365,13 +371,13 @@
 	}
 }
 
-// notifyWaiters makes waiters evaluate the state again. The caller must hold mu.
+// notifyWaiters makes waiters evaluate the state again. mu must be held.
 func (f *Follower) notifyWaiters() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// foldOne folds one record, caches it for peers and logs its decision. The caller must hold mu.
+// foldOne folds one record, caches it for peers and logs its decision. mu must be held.
 func (f *Follower) foldOne(r infra.Record) {
 	if f.state.Stopped != nil {
 		return
@@ -397,10 +403,11 @@
 	}
 }
 
-// maxStartHold is the longest time after the start for which outdated documents are not published.
+// maxStartHold is the longest time after initialStateAt for which the first document is not published.
 const maxStartHold = 3 * time.Second
 
-// publish makes the state's document available to Document and to subscribers. The caller must hold mu.
+// publish makes the state's document available to Document and to subscribers. It does nothing if the document is
+// already published, has a lower version than the published one, or must be held back (see startTail). mu must be held.
 func (f *Follower) publish() {
 	if f.state == nil {
 		return
@@ -409,7 +416,7 @@
 	if doc == nil || doc == current {
 		return
 	}
-	if current == nil && f.state.Next < f.startTail && time.Since(f.startedAt) < maxStartHold {
+	if current == nil && f.state.Next < f.startTail && time.Since(f.initialStateAt) < maxStartHold {
 		return
 	}
 	if !checkMonotone(current, doc) {
--- a/configlog/history.go
+++ b/configlog/history.go
@@ -20,8 +20,8 @@
 	return Decision{}, false
 }
 
-// At returns the document of a version. The error has the kind NotFound if the version is above the one in force or
-// older than the history.
+// At returns the document of a version. The error has the kind NotFound if there is no configuration, or if the version
+// is above the one in force or older than the history.
 func (s *State) At(version uint64) (*config.Document, error) {
 	if s.Doc == nil {
 		return nil, notInitialised()
@@ -45,7 +45,8 @@
 	return doc, nil
 }
 
-// Log returns the decisions with versions from from to to, both inclusive, in log order.
+// Log returns the decisions whose Version lies between from and to, both inclusive, in log order. It includes patches
+// that were refused while such a version was in force.
 func (s *State) Log(from, to uint64) []Decision {
 	var decisions []Decision
 	for _, d := range s.Decisions {
--- a/configlog/metrics.go
+++ b/configlog/metrics.go
@@ -23,7 +23,7 @@
 	metricFold    = metrics.GetOrRegisterTimer("config.fold", metrics.DefaultRegistry)
 )
 
-// countDecision counts a decision of the fold by its outcome; d may be nil.
+// countDecision counts a decision of the fold by its outcome. It does nothing if d is nil.
 func countDecision(d *Decision) {
 	switch {
 	case d == nil:
--- a/configlog/peer.go
+++ b/configlog/peer.go
@@ -9,14 +9,14 @@
 
 // innerPeer implements Peer over the inner protocol.
 type innerPeer struct {
-	id      string
-	address string
-	caller  inner.Caller
+	id        string
+	address   string
+	requester inner.Caller
 }
 
 // NewPeer returns the peer with the given id. address is the host:port of its inner protocol listener.
-func NewPeer(id, address string, caller inner.Caller) Peer {
-	return &innerPeer{id: id, address: address, caller: caller}
+func NewPeer(id, address string, requester inner.Caller) Peer {
+	return &innerPeer{id: id, address: address, requester: requester}
 }
 
 // ID implements Peer.
@@ -47,7 +47,7 @@
 }
 
 func (p *innerPeer) request(ctx context.Context, req *inner.Request) (*inner.Response, error) {
-	resp, err := p.caller.Call(ctx, p.address, req)
+	resp, err := p.requester.Call(ctx, p.address, req)
 	if err != nil {
 		return nil, err
 	}
@@ -62,8 +62,8 @@
 		"peer %s sent a response to a different request", p.id)
 }
 
-// Handle returns the response to a request of a peer for records or state. For every other kind of request it returns
-// nil for both results, and the caller must handle the request.
+// Handle returns the response to a request of a peer for records or state. For every other kind of request both results
+// are nil.
 func (f *Follower) Handle(req *inner.Request) (*inner.Response, error) {
 	switch {
 	case req.FetchRecords != nil:
--- a/configlog/prove_test.go
+++ b/configlog/prove_test.go
@@ -17,12 +17,13 @@
 	r.delays, r.burstDelays = append(r.delays, other.delays...), append(r.burstDelays, other.burstDelays...)
 }
 
-// TestProve runs scenarios for at most 12 s with seeds derived from PROVE_SEED and prints the number of violations.
+// TestProve guards against violations of the checks in scenarios whose seeds derive from PROVE_SEED. It runs scenarios
+// for at most 12 s and prints the number of violations.
 func TestProve(t *testing.T) {
 	seedText := os.Getenv("PROVE_SEED")
 	seed, err := strconv.ParseUint(seedText, 10, 64)
 	if err != nil {
-		t.Fatalf("PROVE_SEED=%q is not a number", seedText)
+		t.Fatalf("PROVE_SEED is %q, want an unsigned integer", seedText)
 	}
 	var all result
 	var firstViolation string
--- a/configlog/record.go
+++ b/configlog/record.go
@@ -42,9 +42,9 @@
 // Snapshot is the state after all records before Offset have been folded.
 type Snapshot struct {
 	// Offset is the offset of the first record that the state does not include.
-	Offset  uint64 `cbor:"offset"`
-	Version uint64 `cbor:"version"`
-	// Digest is the digest of Document.
+	Offset uint64 `cbor:"offset"`
+	// Version and Digest are those of Document.
+	Version  uint64           `cbor:"version"`
 	Digest   uint64           `cbor:"digest"`
 	Document *config.Document `cbor:"document"`
 	// Decisions is the bounded history, in log order.
@@ -75,11 +75,12 @@
 
 // Decision is the result of the fold of one patch, withdrawal or initialise record.
 type Decision struct {
-	// Offset is the offset of the record that led to the decision.
+	// Offset is the offset of the record that led to the decision. It is 0 if the decision was not made by a fold.
 	Offset  uint64  `cbor:"offset" json:"offset"`
 	ID      string  `cbor:"id" json:"id"`
 	Outcome Outcome `cbor:"outcome" json:"outcome"`
-	// Version is the version that an accepted patch created, or the version in force when a patch was refused.
+	// Version is the version that an accepted patch created, or the version in force when a patch was refused. It is 0
+	// if there was none or the outcome is unknown.
 	Version uint64 `cbor:"version" json:"version"`
 	Base    uint64 `cbor:"base" json:"base"`
 	Author  string `cbor:"author" json:"author"`
@@ -145,7 +146,8 @@
 	return r, err
 }
 
-// EncodeState returns the encoding of s for FetchState, or nil if s has no configuration.
+// EncodeState returns the encoding of s for FetchState, or nil if s is nil or has no configuration. An error has the
+// kind Internal.
 func EncodeState(s *State) ([]byte, error) {
 	if s == nil || s.Doc == nil {
 		return nil, nil
@@ -156,10 +158,10 @@
 // DecodeState decodes a state encoded by EncodeState. It returns an error of kind BadInput if the state cannot be
 // decoded, does not match its digest or requires an unknown rule set.
 func DecodeState(raw []byte) (*State, error) {
-	number, err := decodeRuleSet(raw)
-	if err != nil || number > config.RuleSet {
+	ruleSet, err := decodeRuleSet(raw)
+	if err != nil || ruleSet > config.RuleSet {
 		return nil, errkind.New(errkind.BadInput, "upgrade this process or query another peer",
-			"state requires rule set %d, but this process supports only %d", number, config.RuleSet)
+			"state requires rule set %d, but this process supports only %d", ruleSet, config.RuleSet)
 	}
 	r, err := decode(raw)
 	if err != nil || r.Snapshot == nil {
--- a/configlog/scenario_test.go
+++ b/configlog/scenario_test.go
@@ -27,19 +27,25 @@
 
 // operation is one operation of an operator with its result.
 type operation struct {
-	kind         string // "submit", "withdraw", "read"
-	id           string
-	base         uint64
-	call, ret    time.Time
-	decision     Decision
+	kind string // "submit", "withdraw", "read"
+	// id is that of the patch, and base that of a submission.
+	id   string
+	base uint64
+	// call and ret are the times at which the operation started and ended.
+	call, ret time.Time
+	decision  Decision
+	// read is the version that a read returned; known reports whether it is set. valid reports whether a submitted patch
+	// is valid.
 	read         uint64
 	valid, known bool
 }
 
 // result holds the results of one or more runs.
 type result struct {
-	violations     []string
-	operations     []operation
+	violations []string
+	operations []operation
+	// accepted counts the accepted patches, unknown the submissions with an unknown outcome, and skippedPatches the
+	// patches in records that expired unread.
 	accepted       int
 	unknown        int
 	skippedPatches int
@@ -62,10 +68,10 @@
 	}
 }
 
-// runScenario does one randomised run in virtual time with nine followers in three failure domains, concurrent
-// operators, and faults of the log, the network and the followers.
+// runScenario does one randomised run in virtual time with nine nodes in three failure domains, concurrent operators,
+// and faults of the log, the network and the nodes.
 func runScenario(t *testing.T, seed uint64) *result {
-	// In one run in four most appends are late, so that withdrawals must settle them.
+	// In every fourth run most appends are late, so that withdrawals must settle them.
 	late := 0
 	if seed%4 == 0 {
 		late = 60
@@ -115,12 +121,12 @@
 	}
 }
 
-// driver injects faults and submits changes.
+// driver injects faults and runs the operations of the operators.
 type driver struct {
 	cluster *cluster
 	result  *result
 	mu      sync.Mutex
-	// count numbers the patches; guarded by mu, as is result.operations.
+	// count is the number of submitted patches. mu guards it and result.operations.
 	count int
 }
 
@@ -156,7 +162,7 @@
 	}
 }
 
-// runBursts occasionally makes ten operators submit changes concurrently for 20 s.
+// runBursts makes ten operators submit changes concurrently for 20 s, at random intervals of 5 min on average.
 func (d *driver) runBursts(ctx context.Context, seed uint64, end time.Time) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	for time.Now().Before(end) {
@@ -212,6 +218,7 @@
 	return op
 }
 
+// submitPatch submits patch through f. With appendErrorIsRefusal it reports a patch whose append failed as refused.
 func (d *driver) submitPatch(ctx context.Context, f *Follower, patch config.Patch) Decision {
 	if !d.cluster.options.appendErrorIsRefusal {
 		return f.Submit(ctx, patch)
@@ -232,6 +239,7 @@
 }
 
 // read waits until the follower has caught up with the log and records the version in force as a read of the register.
+// It records nothing if the follower does not catch up.
 func (d *driver) read(ctx context.Context, f *Follower) {
 	ctx, cancel := context.WithTimeout(ctx, 6*time.Second)
 	defer cancel()
@@ -243,7 +251,7 @@
 	d.record(op)
 }
 
-// injectFaults repeatedly injects one or two faults at a time and ends them.
+// injectFaults injects one or two random faults at a time until end. It heals all faults before the next ones.
 func (d *driver) injectFaults(ctx context.Context, group *sync.WaitGroup, seed uint64, end time.Time) {
 	rng := rand.New(rand.NewPCG(seed, 98))
 	c := d.cluster
@@ -267,7 +275,7 @@
 	c.withLock(func() { c.cutLog, c.cut = [domainCount]bool{}, [domainCount][domainCount]bool{} })
 	c.log.mu.Lock()
 	defer c.log.mu.Unlock()
-	c.log.down, c.log.slow = false, 0
+	c.log.down, c.log.extraDelay = false, 0
 	c.log.lossPercent, c.log.latePercent, c.log.hangPercent = rng.IntN(15), rng.IntN(10), rng.IntN(5)
 	if c.options.latePercent > 0 {
 		c.log.latePercent = c.options.latePercent
@@ -279,9 +287,9 @@
 	c := d.cluster
 	switch rng.IntN(5) {
 	case 0:
-		c.log.withLock(func() { c.log.down, c.log.silent = true, rng.IntN(2) == 0 })
+		c.log.withLock(func() { c.log.down, c.log.hangWhenDown = true, rng.IntN(2) == 0 })
 	case 1:
-		c.log.withLock(func() { c.log.slow = exponential(rng, 2*time.Second) })
+		c.log.withLock(func() { c.log.extraDelay = exponential(rng, 2*time.Second) })
 	case 2:
 		c.withLock(func() { c.cutLog[rng.IntN(domainCount)] = true })
 	case 3:
--- a/configlog/snapshot.go
+++ b/configlog/snapshot.go
@@ -13,7 +13,8 @@
 	s.Stopped = &Stop{Reason: reason, Offset: offset, Detail: fmt.Sprintf(format, args...)}
 }
 
-// foldSnapshot compares a snapshot with the version and digest that this fold had at the snapshot's offset.
+// foldSnapshot compares a snapshot with the version and digest that this fold had at the snapshot's offset. If they
+// disagree, it stops the fold, unless one of the two processes has skipped records: see reconcileSkip.
 func (s *State) foldSnapshot(offset uint64, r Record) {
 	snap := r.Snapshot
 	if snap.Document == nil || snap.Document.Version != snap.Version || config.Digest(snap.Document) != snap.Digest {
@@ -45,8 +46,8 @@
 }
 
 // reconcileSkip reconciles this state with the snapshot of another process after one of the two processes skipped
-// records that it could not read. The higher version wins if the other process has accepted no patch since. Otherwise
-// the fold stops, and an operator must intervene.
+// records that it could not read. The process with the lower version adopts the state of the other if it has skipped
+// records and accepted no patch since. Otherwise its fold stops, and an operator must intervene.
 func (s *State) reconcileSkip(offset uint64, r Record, version uint64) {
 	snap := r.Snapshot
 	switch {
@@ -82,7 +83,7 @@
 }
 
 // versionBefore returns the version and digest of the document that was in force before the record at offset was
-// folded. known is false if the history does not reach back that far.
+// folded. known is false if the history does not reach back that far or no document was in force.
 func (s *State) versionBefore(offset uint64) (version, digest uint64, known bool) {
 	if s.Doc == nil || offset < s.historyStart {
 		return 0, 0, false
@@ -111,7 +112,8 @@
 
 // SnapshotDue reports whether a snapshot of the state must be appended. oldest is the oldest retained offset. A
 // snapshot is due if the log retains none, if more than EveryRecords records follow the newest one, or if a third of
-// the retention period has passed since, so that two appends may fail before the newest snapshot expires.
+// the retention period has passed since, so that two appends may fail before the newest snapshot expires. None is due
+// if there is no configuration or the fold has stopped.
 func (s *State) SnapshotDue(now time.Time, oldest uint64, r Retention) bool {
 	if s.Doc == nil || s.Stopped != nil {
 		return false
@@ -127,7 +129,7 @@
 
 // FromRecords returns the state from which the retained records of a stream can be folded. oldest is the offset of the
 // oldest retained record. If it is not 0, the state is that of the newest snapshot in records whose offset is not below
-// oldest, or nil if there is none. The caller must fold the records from the state's Next on.
+// oldest, or nil if there is none. The records from the state's Next on are not folded yet.
 func FromRecords(oldest uint64, records []infra.Record) *State {
 	if oldest == 0 {
 		return NewState()
@@ -143,8 +145,8 @@
 // stateFromRecord returns the state of the snapshot in a record, or nil if the record holds no snapshot that a fold can
 // start from.
 func stateFromRecord(oldest uint64, record infra.Record) *State {
-	number, err := decodeRuleSet(record.Data)
-	if err != nil || number > config.RuleSet {
+	ruleSet, err := decodeRuleSet(record.Data)
+	if err != nil || ruleSet > config.RuleSet {
 		return nil
 	}
 	r, err := decode(record.Data)
--- a/configlog/state.go
+++ b/configlog/state.go
@@ -105,16 +105,16 @@
 }
 
 // Fold applies the record at offset, which must be s.Next, and returns the resulting decision, or nil if there is none.
-// A record that this program cannot process stops the fold, and Next stays at that record. Afterwards Next is the
-// offset of the next record to fold. It decreases if the record contains the state of a process that had read more,
-// which Fold adopts.
+// Afterwards Next is the offset of the next record to fold. It decreases if the record contains the state of a process
+// that had read more, which Fold adopts. A record that cannot be decoded has no effect. A record that requires an
+// unknown rule set, or a snapshot that disagrees with the fold, stops the fold, and Next stays at that record.
 func (s *State) Fold(offset uint64, raw []byte) *Decision {
 	if s.Stopped != nil || offset != s.Next {
 		return nil
 	}
-	number, err := decodeRuleSet(raw)
-	if err == nil && number > config.RuleSet {
-		s.stop(StopRuleSet, offset, "record requires rule set %d, but this process supports only %d", number, config.RuleSet)
+	ruleSet, err := decodeRuleSet(raw)
+	if err == nil && ruleSet > config.RuleSet {
+		s.stop(StopRuleSet, offset, "record requires rule set %d, but this process supports only %d", ruleSet, config.RuleSet)
 		return nil
 	}
 	r, err := decode(raw)
@@ -123,7 +123,7 @@
 		s.Next++
 		return nil
 	}
-	s.RuleSet = max(s.RuleSet, number)
+	s.RuleSet = max(s.RuleSet, ruleSet)
 	decision := s.foldRecord(offset, r)
 	if s.Stopped == nil && s.Next == offset {
 		s.Next++
@@ -217,7 +217,8 @@
 	return s.appendDecision(d)
 }
 
-// setDocument puts a document in force. It never replaces a version by a lower or equal one.
+// setDocument puts a document in force. It keeps the current document and records an invariant violation if the version
+// of doc is not higher.
 func (s *State) setDocument(doc *config.Document) {
 	current := s.Doc
 	if current != nil && !invariant.Check(doc.Version > current.Version, invariant.ConfigurationMonotone,
@@ -231,7 +232,8 @@
 	s.HasSnapshot, s.SnapshotOffset, s.SnapshotAt = true, offset, at
 }
 
-// appendDecision appends a decision to the history and drops the oldest ones while the history exceeds its limits.
+// appendDecision appends a decision to the history, drops the oldest ones while the history exceeds its limits, and
+// returns a pointer to the appended decision.
 func (s *State) appendDecision(d Decision) *Decision {
 	s.Decisions = append(s.Decisions, d)
 	s.byID[d.ID] = d.Offset
@@ -259,7 +261,7 @@
 }
 
 // SkipTo skips the records before oldest, which expired before any reachable process read them, and keeps the current
-// document. The caller must have verified that neither the log nor a peer holds the records or a later state.
+// document. It may only be used after neither the log nor a peer was found to hold the records or a later state.
 func (s *State) SkipTo(oldest uint64) {
 	s.Skipped = &SkippedRange{From: s.Next, To: oldest}
 	s.Next, s.HasSnapshot = oldest, false
@@ -268,7 +270,8 @@
 	}
 }
 
-// Supersedes reports whether s may replace current: it has folded more of the log and its version is not lower.
+// Supersedes reports whether s may replace current, which may be nil. A state with a configuration replaces one without.
+// It replaces another one with a configuration if it has folded more of the log and its version is not lower.
 func (s *State) Supersedes(current *State) bool {
 	if s.Doc == nil {
 		return false
--- a/configlog/state_test.go
+++ b/configlog/state_test.go
@@ -49,8 +49,8 @@
 	return state
 }
 
-// TestFoldDecidesByFirstValidRecord guards against a fold that accepts any patch but the first valid one on the version
-// in force.
+// TestFoldDecidesByFirstValidRecord guards against a fold that accepts any patch or initialise record but the first
+// valid one on the version in force, that lets a withdrawn patch take effect, or that stops at an undecodable record.
 func TestFoldDecidesByFirstValidRecord(t *testing.T) {
 	cases := map[string]struct {
 		stream  *stream
@@ -71,35 +71,35 @@
 		t.Run(name, func(t *testing.T) {
 			s := c.stream.fold(NewState())
 			if s.Stopped != nil || s.Doc == nil || s.Doc.Version != c.version || s.Next != uint64(len(c.stream.records)) {
-				t.Fatalf("state %+v", s)
+				t.Fatalf("got state %+v, want the version of the case after all records", s)
 			}
 			for id, want := range c.want {
 				d, ok := s.Decision(id)
 				if !ok || d.Outcome != want || (want == Refused) != (d.Err() != nil) {
-					t.Errorf("decision of %s: %+v", id, d)
+					t.Errorf("decision about %s: got %+v, want the outcome of the case and an error only if refused", id, d)
 				}
 			}
 		})
 	}
 }
 
-// TestUnknownRuleSet guards against a process that folds records with an unknown rule set, and against one that loses
-// its version because of them.
+// TestUnknownRuleSet guards against a fold that continues after a record with an unknown rule set or loses its version,
+// and against decoding a peer's state with such a rule set.
 func TestUnknownRuleSet(t *testing.T) {
 	st := new(stream).init().patch("a", 0).add(Record{RuleSet: config.RuleSet + 1}).patch("b", 1)
 	s := st.fold(NewState())
 	if s.Stopped == nil || s.Stopped.Reason != StopRuleSet || s.Next != 2 || s.Doc.Version != 1 {
-		t.Fatalf("state %+v", s)
+		t.Fatalf("got state %+v, want version 1, stopped at offset 2 for the rule set", s)
 	}
 	if raw, _ := Encode(Record{RuleSet: config.RuleSet + 1, Snapshot: s.Snapshot()}); raw != nil {
 		if _, err := DecodeState(raw); !errkind.Is(err, errkind.BadInput) {
-			t.Errorf("state of an unknown rule set: %v", err)
+			t.Errorf("state with an unknown rule set: got error %v, want bad_input", err)
 		}
 	}
 }
 
-// TestStateFromSnapshotFoldsAlike guards against a process that starts from a snapshot and reaches another state than
-// one that has read all records, and against snapshots that are not deterministic.
+// TestStateFromSnapshotFoldsAlike guards against a fold that starts from a snapshot and reaches another state than a
+// fold of all records, against snapshots that are not deterministic, and against an encoding that changes the state.
 func TestStateFromSnapshotFoldsAlike(t *testing.T) {
 	st := new(stream).init()
 	full := NewState()
@@ -122,12 +122,13 @@
 		}
 		back, err := DecodeState(b)
 		if err != nil || back.Next != full.Next || back.Digest != full.Digest {
-			t.Fatalf("state does not survive encoding: %v", err)
+			t.Fatalf("encoding and decoding changed the state: %v", err)
 		}
 	}
 }
 
-// TestSnapshotDisagreementStopsFold guards against processes that diverge without being detected.
+// TestSnapshotDisagreementStopsFold guards against processes that diverge without being detected, and against a fold that
+// stops although the snapshot agrees or its writer will adopt a later one.
 func TestSnapshotDisagreementStopsFold(t *testing.T) {
 	base := func() *stream { return new(stream).init().patch("a", 0).patch("b", 1) }
 	snapshot := func(change func(*Snapshot)) *stream {
@@ -155,7 +156,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := c.stream.fold(NewState())
 			if (s.Stopped != nil) != c.stops || s.Doc.Version < 2 {
-				t.Errorf("stopped %+v, version %d", s.Stopped, s.Doc.Version)
+				t.Errorf("got stop %+v and version %d, want a stop as in the case and at least version 2", s.Stopped, s.Doc.Version)
 			}
 		})
 	}
@@ -173,7 +174,7 @@
 }
 
 // TestSkippedAdoptsHigherVersion guards against a permanent divergence after one process skipped records that another
-// one had read.
+// one had read, and against a process with the higher version that appends no snapshot of it.
 func TestSkippedAdoptsHigherVersion(t *testing.T) {
 	st := new(stream).init().patch("a", 0)
 	ahead := st.fold(NewState())
@@ -185,12 +186,12 @@
 	st.fold(ahead)
 	st.fold(behind)
 	if ahead.Stopped != nil || behind.Stopped != nil || ahead.Digest != behind.Digest || behind.Doc.Version != 2 {
-		t.Fatalf("versions %d and %d, stopped %v and %v", ahead.Doc.Version, behind.Doc.Version, ahead.Stopped, behind.Stopped)
+		t.Fatalf("got versions %d and %d, stopped %v and %v; want version 2 twice without a stop", ahead.Doc.Version, behind.Doc.Version, ahead.Stopped, behind.Stopped)
 	}
 	empty := NewState()
 	empty.SkipTo(2)
 	if st.fold(empty); empty.Stopped != nil || empty.Digest != ahead.Digest {
-		t.Errorf("process without a configuration: stopped %+v", empty.Stopped)
+		t.Errorf("process without a configuration did not adopt the same document; stopped %+v", empty.Stopped)
 	}
 	if !ahead.SnapshotDue(time.Now(), 0, Retention{Period: time.Hour, EveryRecords: 100}) {
 		t.Error("no snapshot is due for the process with the higher version")
@@ -213,30 +214,31 @@
 	}
 	st.fold(s)
 	if len(s.Decisions) != HistoryLimit || len(s.byID) != HistoryLimit {
-		t.Fatalf("%d decisions, %d ids", len(s.Decisions), len(s.byID))
+		t.Fatalf("got %d decisions and %d ids, want HistoryLimit", len(s.Decisions), len(s.byID))
 	}
 	oldest := s.Decisions[0].Version - 1
 	for _, version := range []uint64{oldest, oldest + 1, s.Doc.Version - 1} {
 		doc, err := s.At(version)
 		if err != nil || config.Digest(doc) != digests[version] {
-			t.Errorf("version %d: %v", version, err)
+			t.Errorf("version %d is not available or has another document: %v", version, err)
 		}
 	}
 	for _, version := range []uint64{oldest - 1, s.Doc.Version + 1} {
 		if _, err := s.At(version); !errkind.Is(err, errkind.NotFound) {
-			t.Errorf("version %d: %v", version, err)
+			t.Errorf("version %d outside the history: got error %v, want not_found", version, err)
 		}
 	}
 	steps, err := s.Replay(s.Doc.Version-5, s.Doc.Version)
 	if err != nil || len(steps) != 5 || config.Digest(steps[4].Document) != s.Digest || steps[4].Decision.Author != "ana" {
-		t.Errorf("replay of %d steps: %v", len(steps), err)
+		t.Errorf("replay has %d steps, want 5 that end with the document in force: %v", len(steps), err)
 	}
 	if log := s.Log(s.Doc.Version-1, s.Doc.Version); len(log) != 2 {
-		t.Errorf("log has %d decisions", len(log))
+		t.Errorf("log of two versions has %d decisions, want 2", len(log))
 	}
 }
 
-// TestSnapshotDue guards against losing the state because the newest snapshot expires before another one is appended.
+// TestSnapshotDue guards against losing the state because the newest snapshot expires before another one is appended, and
+// against a snapshot that is due too early or without a configuration.
 func TestSnapshotDue(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000)
 	retention := Retention{Period: 30 * time.Minute, EveryRecords: 3}
@@ -270,7 +272,7 @@
 	f.publish()
 	s.setDocument(lower)
 	if f.Document().Version != 2 || s.Doc.Version != 2 || len(log.Violations()) != 2 {
-		t.Fatalf("versions %d and %d, violations %v", f.Document().Version, s.Doc.Version, log.Violations())
+		t.Fatalf("got versions %d and %d, violations %v; want version 2 twice and two violations", f.Document().Version, s.Doc.Version, log.Violations())
 	}
 	older := new(stream).init().fold(NewState())
 	older.Next = 100
--- a/configlog/submit.go
+++ b/configlog/submit.go
@@ -35,9 +35,10 @@
 	return f.appendAndSettle(ctx, patch.ID, record)
 }
 
-// precheck decides about a patch without appending it, if possible, and reports whether it did. Since versions only
-// increase, a patch has no effect if its base is older than the version in force, if it is invalid on the version in
-// force, or if its base does not exist. Such a patch is refused.
+// precheck decides about a patch without appending it, if possible, and reports whether it did. It returns the earlier
+// decision about the id of the patch, if there is one. It refuses every patch if there is no configuration or the fold
+// has stopped. Since versions only increase, it also refuses a patch whose base is older than the version in force or
+// does not exist, and a patch that is invalid on the version in force: such a patch can have no effect.
 func (f *Follower) precheck(patch config.Patch) (Decision, bool) {
 	d := Decision{ID: patch.ID, Outcome: Refused, Base: patch.Base, Author: patch.Author, Reason: patch.Reason}
 	doc, stop := f.documentAndStop()
@@ -111,7 +112,7 @@
 	if f.Document() != nil {
 		return errkind.New(errkind.Conflict, "submit a patch instead", "the configuration is already initialised")
 	}
-	if !f.started() {
+	if !f.hasState() {
 		return errkind.New(errkind.Unavailable, "retry when the log and every peer respond",
 			"it is not known yet whether a configuration exists")
 	}
@@ -120,8 +121,9 @@
 	return config.Validate(next)
 }
 
-// Withdraw appends a withdraw record and returns the decision about the patch, which is the earlier one if the patch is
-// in the log before the withdraw record.
+// Withdraw appends a withdraw record and returns the decision about the patch with this id, which is the earlier one if
+// the patch is in the log before the withdraw record. If the decision is known already, Withdraw appends nothing. The
+// outcome is Unknown if the decision could not be read from the log before ctx ended.
 func (f *Follower) Withdraw(ctx context.Context, id, author, reason string) Decision {
 	if d, ok := f.decision(id); ok {
 		return d
@@ -130,7 +132,8 @@
 	return f.appendAndSettle(ctx, id, Record{RuleSet: config.RuleSet, At: time.Now().UnixMilli(), Withdraw: &withdraw})
 }
 
-// Settle reads the log to its end and returns the decision about a patch. The outcome is Unknown if there is none.
+// Settle reads the log to its end and returns the decision about the patch with this id. The outcome is Unknown if there
+// is none or the log cannot be read.
 func (f *Follower) Settle(ctx context.Context, id string) Decision {
 	err := f.CatchUp(ctx)
 	if d, ok := f.decision(id); ok {
@@ -147,9 +150,9 @@
 // CatchUp waits until every record that was in the log at the time of the call has been folded. It returns an error if
 // the log cannot be read, or of kind DeadlineExceeded if ctx ends first.
 func (f *Follower) CatchUp(ctx context.Context) error {
-	callCtx, cancel := context.WithTimeout(ctx, f.options.CallTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, f.options.CallTimeout)
 	defer cancel()
-	resp, err := f.options.Log.Read(callCtx, infra.ConfigStream, f.nextOffset(), 1, 0)
+	resp, err := f.options.Log.Read(readCtx, infra.ConfigStream, f.nextOffset(), 1, 0)
 	if err != nil {
 		return err
 	}
@@ -202,8 +205,8 @@
 	return f.state.Decision(id)
 }
 
-// waitFor waits until cond returns true for the state or ctx ends, and reports whether cond returned true. It calls
-// cond with mu held.
+// waitFor waits until cond returns true for the state or ctx ends, and reports whether cond returned true. mu is held
+// while cond runs, and cond never gets a nil state.
 func (f *Follower) waitFor(ctx context.Context, cond func(*State) bool) bool {
 	for {
 		f.mu.Lock()
--- a/configlog/summary_test.go
+++ b/configlog/summary_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// percentile sorts delays and returns their p-th percentile, 0 if there are none.
+// percentile sorts delays and returns their p-th percentile, rounded to milliseconds, 0 if there are none.
 func percentile(delays []time.Duration, p int) time.Duration {
 	if len(delays) == 0 {
 		return 0
