--- a/config/canonical.go
+++ b/config/canonical.go
@@ -68,13 +68,15 @@
 	return true
 }
 
-// SameTokenDigest reports whether two token digests are equal. It takes constant time.
+// SameTokenDigest reports whether two token digests are equal. For digests of equal length, its time does not depend on
+// where they differ.
 func SameTokenDigest(a, b string) bool {
 	return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1
 }
 
-// Diff returns the ops that turn document a into document b, ordered by section and name. If only endpoints of a service
-// differ, the result has one op for each changed endpoint instead of one for the service.
+// Diff returns the ops that turn document a into document b, ordered by section. Within a section the changed items come
+// before the removed ones, each ordered by name. If only endpoints of a service differ, the result has one op for each
+// changed endpoint instead of one for the service. Diff ignores the versions of the documents.
 func Diff(a, b *Document) []Op {
 	var ops []Op
 	ops = diffItems(ops, "failure_domains/", a.FailureDomains, b.FailureDomains)
@@ -89,6 +91,8 @@
 	return ops
 }
 
+// diffItems appends to ops the ops that turn the items a of one section into b. prefix is the path of the section with a
+// trailing slash.
 func diffItems[V any](ops []Op, prefix string, a, b map[string]V) []Op {
 	var changed, removed []string
 	for key, value := range b {
@@ -113,7 +117,7 @@
 func diffServices(ops []Op, a, b map[string]Service) []Op {
 	for _, name := range sortedKeys(b) {
 		old, ok := a[name]
-		withNewEndpoints := old
+		withNewEndpoints := old // the old service with the endpoints of b
 		withNewEndpoints.Endpoints = b[name].Endpoints
 		if !ok || !reflect.DeepEqual(withNewEndpoints, b[name]) {
 			ops = append(ops, setOp("services/"+name, b[name]))
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -46,8 +46,8 @@
 		Guarantees: []Guarantee{{FailureDomain: "fd-a", Shape: shape, Count: count}}})
 }
 
-// TestApply guards against accepting an invalid patch, against an error that has the wrong kind or no remedy, and against a
-// change to the document that a patch is applied to.
+// TestApply guards against accepting an invalid patch or rejecting a valid one, against an error that has the wrong kind, no
+// remedy or no mention of the faulty item, and against a change to the document that a patch is applied to.
 func TestApply(t *testing.T) {
 	cases := map[string]struct {
 		ops      []Op
@@ -114,11 +114,12 @@
 func TestApplyRejectsOtherBase(t *testing.T) {
 	_, err := Apply(sampleDocument(1), Patch{ID: "p", Base: 1, Author: "ana", Reason: "r", Ops: []Op{op("drains/v", Drain{})}})
 	if !errkind.Is(err, errkind.Conflict) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want conflict", err)
 	}
 }
 
-// TestDiff guards against a diff that omits a change: its ops must turn each document into the other.
+// TestDiff guards against a diff that omits a change or contains one that is not needed: its ops must turn each document
+// into the other, and there must be none between equal documents.
 func TestDiff(t *testing.T) {
 	a := sampleDocument(4)
 	b, err := Apply(a, Patch{ID: "p", Author: "ana", Reason: "r", Ops: []Op{
@@ -140,7 +141,8 @@
 	}
 }
 
-// TestDescribe guards against a description that omits a change or exposes a complete token digest.
+// TestDescribe guards against a description that omits a change or an op that cannot be applied, or exposes a complete token
+// digest.
 func TestDescribe(t *testing.T) {
 	got := strings.Join(Describe(sampleDocument(1), []Op{
 		op("accounts/orders", Account{TokenDigest: TokenDigest("new"), Weight: 2}), op("drains/v", Drain{Reason: "disk"}),
@@ -156,7 +158,8 @@
 	}
 }
 
-// TestCanonicalEncoding guards against equal documents with different digests, which would raise a false divergence alarm.
+// TestCanonicalEncoding guards against equal documents with different digests, which would raise a false divergence alarm,
+// and against different documents with equal digests, which would hide a divergence.
 func TestCanonicalEncoding(t *testing.T) {
 	doc := sampleDocument(50)
 	raw := must(Encode(doc))
@@ -170,7 +173,8 @@
 	}
 }
 
-// TestTokenDigest guards against a token digest that does not match its token, and against accepting a malformed digest.
+// TestTokenDigest guards against a token digest that does not match its token or matches another one, and against accepting
+// a malformed digest.
 func TestTokenDigest(t *testing.T) {
 	digest := TokenDigest("secret")
 	if !ValidTokenDigest(digest) || !SameTokenDigest(digest, TokenDigest("secret")) || SameTokenDigest(digest, TokenDigest("other")) {
--- a/config/describe.go
+++ b/config/describe.go
@@ -8,11 +8,13 @@
 	"strings"
 )
 
-// Describe returns one line for each field that ops change in doc, ordered by op and field, for an operator to review:
+// Describe returns one line for each field that ops change in doc, ordered by op and field, for an operator to review.
+// An op that adds or removes an item, or changes none of its fields, gets one line:
 //
 //	accounts/orders weight: 1 -> 2
 //	workers/w-9: added, address "10.0.0.9:9000", ...
 //	drains/vm-3: removed
+//	drains/vm-4: unchanged
 //
 // Token digests are shortened to their first 8 digits. For an op that cannot be applied the line gives the reason.
 func Describe(doc *Document, ops []Op) []string {
@@ -68,7 +70,7 @@
 	return jsonFields(value)
 }
 
-// jsonFields returns the fields of value's JSON form.
+// jsonFields returns the fields of value's JSON form, or nil if value cannot be encoded as a JSON object.
 func jsonFields(value any) map[string]any {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -84,6 +86,8 @@
 	return fields
 }
 
+// describeChange returns the lines for one op on the item at path. before and after are the fields of the item, nil if it
+// does not exist.
 func describeChange(path string, before, after map[string]any) []string {
 	oldFields, newFields := map[string]string{}, map[string]string{}
 	flatten(oldFields, "", before)
@@ -123,7 +127,8 @@
 	}
 }
 
-// formatValue formats a scalar value. It shortens a token digest to the 8 digits that suffice to distinguish two digests.
+// formatValue formats the scalar value of the field name. It shortens a token digest to 8 digits, which suffice to
+// distinguish two digests.
 func formatValue(name string, value any) string {
 	text, isString := value.(string)
 	if isString && strings.HasSuffix(name, "token_digest") && len(text) > 8 {
--- a/config/document.go
+++ b/config/document.go
@@ -12,7 +12,7 @@
 // record with a higher rule set number.
 const RuleSet = 1
 
-// Document is the complete configuration at one version.
+// Document is the complete configuration at one version. Each map holds its items by name or id.
 type Document struct {
 	// Version counts accepted patches; the initialise record creates version 0.
 	Version        uint64                     `json:"version" cbor:"version"`
@@ -21,7 +21,7 @@
 	Accounts       map[string]Account         `json:"accounts" cbor:"accounts"`
 	Services       map[string]Service         `json:"services" cbor:"services"`
 	Operators      map[string]Operator        `json:"operators" cbor:"operators"`
-	// Drains holds the VMs and workers to drain, by id.
+	// Drains holds the requests to drain a VM or worker, by the id of the VM or worker.
 	Drains map[string]Drain `json:"drains" cbor:"drains"`
 	Policy Policy           `json:"policy" cbor:"policy"`
 }
@@ -59,7 +59,7 @@
 	Name string `json:"name" cbor:"name"`
 	// TimeoutMS is the timeout of one request to an endpoint, in milliseconds.
 	TimeoutMS int64 `json:"timeout_ms" cbor:"timeout_ms"`
-	// MaxBodyBytes limits the size of a request body and of a buffered response body.
+	// MaxBodyBytes limits the size of a request body and of a buffered response body, in bytes.
 	MaxBodyBytes int64               `json:"max_body_bytes" cbor:"max_body_bytes"`
 	Endpoints    map[string]Endpoint `json:"endpoints" cbor:"endpoints"`
 }
--- a/config/fault.go
+++ b/config/fault.go
@@ -9,7 +9,7 @@
 
 // Fault is one validation error in a patch or a document.
 type Fault struct {
-	// Path identifies the item, for example "accounts/orders" or "ops[2] workers/w-1".
+	// Path identifies the item, for example "accounts/orders" or, for an op of a patch, "ops[2] workers/w-1".
 	Path    string       `json:"path" cbor:"path"`
 	Kind    errkind.Kind `json:"kind" cbor:"kind"`
 	Message string       `json:"message" cbor:"message"`
@@ -30,6 +30,7 @@
 
 type faultList []Fault
 
+// add adds a fault of kind BadInput.
 func (l *faultList) add(path, remedy, format string, args ...any) {
 	l.addKind(errkind.BadInput, path, remedy, format, args...)
 }
@@ -38,8 +39,8 @@
 	*l = append(*l, Fault{Path: path, Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy})
 }
 
-// err returns nil if there are no faults. The kind of the error is that of the faults if they all have the same, otherwise
-// BadInput.
+// err returns nil if there are no faults, otherwise an errkind error that wraps a FaultsError. Its kind is that of the
+// faults if they all have the same, otherwise BadInput. Its message is part of stored records and stays as it is.
 func (l faultList) err(subject string) error {
 	if len(l) == 0 {
 		return nil
--- a/config/guarantees.go
+++ b/config/guarantees.go
@@ -36,7 +36,8 @@
 	invariant.Check(err == nil, invariant.GuaranteeReclaimable, "packing of failure domain %s is invalid: %v", fd, err)
 }
 
-// keepsPacking reports whether every valid packing of failure domain fd in old is also valid in next.
+// keepsPacking reports whether every valid packing of failure domain fd in old contains a valid one of next, because its
+// workers keep their racks and at least their capacity, and no account is guaranteed more there.
 func keepsPacking(old, next *Document, fd string) bool {
 	for id, w := range old.Workers {
 		if w.FailureDomain != fd {
--- a/config/packing.go
+++ b/config/packing.go
@@ -9,8 +9,8 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// packBudget limits the work of one Pack call to this number of worker inspections, which take about 0.1 s. The limit is a
-// count and not a time because the check is part of the log's deterministic fold: every process must reach the same result.
+// packBudget limits the work of one Pack call to this number of worker inspections. The limit is a count and not a time
+// because the check is part of the deterministic fold of the configuration log: every process must reach the same result.
 const packBudget = 20_000_000
 
 // packRounds is the largest number of demand orders that Pack tries.
@@ -25,7 +25,7 @@
 	Shape     resource.Shape
 }
 
-// Cell is the capacity to which one demand is bound.
+// Cell is the capacity that Pack assigns to one demand.
 type Cell struct {
 	Demand Demand
 	// Workers holds the worker id of each member, by member index.
@@ -179,9 +179,9 @@
 	return p
 }
 
-// size returns a measure of r relative to the total capacity. It adds the share of each resource in billionths, and counts the
-// largest share, that of the scarcest resource, four more times. It uses integers because fused floating-point operations give different results on different
-// processors.
+// size returns a measure of r relative to the total capacity. It adds the share of each resource in billionths, and counts
+// the largest share, that of the scarcest resource, four more times. It uses integers because fused floating-point
+// operations give different results on different processors.
 func (p *packer) size(r resource.Resources) int64 {
 	share := func(amount, total int64) int64 {
 		if total == 0 {
@@ -222,7 +222,8 @@
 	return order
 }
 
-// tryOrder places the demands in order. It returns the first demand that cannot be placed, or -1 if all are placed.
+// tryOrder places the demands in order on empty workers. It returns the index of the first demand that cannot be placed, or
+// -1 if all are placed.
 func (p *packer) tryOrder(order []int) int {
 	p.reset()
 	for _, d := range order {
@@ -251,7 +252,8 @@
 	}
 }
 
-// placeInRack places a gang in the rack that has the least free capacity among those that can hold the gang.
+// placeInRack places a gang in the rack that has the least free capacity among those that can hold the gang. It returns the
+// worker index of each member, or nil if no rack can hold the gang.
 func (p *packer) placeInRack(s resource.Shape) []int {
 	best, bestSize := -1, int64(0)
 	for i, rack := range p.racks {
@@ -289,8 +291,8 @@
 	return int(n)
 }
 
-// placeAmong places the members of a gang on the best-fitting candidates. If not all fit, it releases the allocated capacity
-// and returns nil.
+// placeAmong places the members of a gang on the best-fitting candidates, which are worker indexes, and returns the worker
+// index of each member. If not all fit, it releases the allocated capacity and returns nil.
 func (p *packer) placeAmong(candidates []int, s resource.Shape) []int {
 	members := make([]int, 0, s.Members)
 	for len(members) < s.Members {
@@ -309,7 +311,7 @@
 	return members
 }
 
-// bestFit returns the candidate with the least free capacity that can hold r, or -1 if there is none.
+// bestFit returns the candidate with the least free capacity that can hold r, or -1 if there is none. It uses up budget.
 func (p *packer) bestFit(candidates []int, r resource.Resources) int {
 	p.budget -= len(candidates)
 	best, bestSize := -1, int64(0)
--- a/config/packing_test.go
+++ b/config/packing_test.go
@@ -56,13 +56,13 @@
 			took := time.Since(started)
 			t.Logf("%d%% seed %d: %d demands, %v, err %v", percent, seed, len(demands), took, err)
 			if took > time.Second {
-				t.Errorf("Pack took %v", took)
+				t.Errorf("Pack took %v, want at most 1 s", took)
 			}
 			if err == nil {
 				err = CheckPacking(workers, cells)
 			}
 			if err != nil {
-				t.Errorf("%d%% seed %d: %v", percent, seed, err)
+				t.Errorf("%d%% seed %d: no valid packing: %v", percent, seed, err)
 			}
 		}
 	}
@@ -129,7 +129,7 @@
 	}
 	for name, cells := range cases {
 		if CheckPacking(workers, cells) == nil {
-			t.Errorf("invalid packing was accepted: %s", name)
+			t.Errorf("CheckPacking accepted an invalid packing: %s", name)
 		}
 	}
 }
--- a/config/patch.go
+++ b/config/patch.go
@@ -80,8 +80,9 @@
 	return next, nil
 }
 
-// ApplyOps returns doc with ops applied and the given version. It does not validate the result: it rebuilds versions whose
-// ops were accepted before. The error wraps a FaultsError.
+// ApplyOps returns a copy of doc with ops applied and the given version. It does not validate the result: it rebuilds
+// versions whose ops were accepted before. If an op cannot be applied, the error wraps a FaultsError and the returned
+// document lacks the change of that op.
 func ApplyOps(doc *Document, ops []Op, version uint64) (*Document, error) {
 	var faults faultList
 	next := clone(doc)
@@ -215,7 +216,8 @@
 	items[name] = value
 }
 
-// decodeValue decodes the value of an op into into and reports whether it succeeded.
+// decodeValue decodes the value of an op into the variable that into points to. It adds a fault and returns false if that
+// fails.
 func decodeValue(faults *faultList, opPath string, raw json.RawMessage, into any) bool {
 	if err := decodeStrict(raw, into); err != nil {
 		faults.add(opPath, "give the item as a JSON object with known fields", "value cannot be read: %v", err)
@@ -238,7 +240,7 @@
 }
 
 // DecodeDocument decodes a document from JSON, rejects unknown fields, and normalises and validates the document. An error
-// has the kind BadInput or one that Validate returns.
+// has the kind BadInput or one that Validate returns; an invalid document is returned with its error.
 func DecodeDocument(raw []byte) (*Document, error) {
 	var doc Document
 	if err := decodeStrict(raw, &doc); err != nil {
--- a/config/validate.go
+++ b/config/validate.go
@@ -78,6 +78,7 @@
 	checkPolicy(faults, doc.Policy)
 }
 
+// checkName adds a fault if the key of an item is not a valid name, or if the item has another name.
 func checkName(faults *faultList, path, key, itemName string) {
 	if !validName(key) {
 		faults.add(path, nameRemedy, "%q is not a name", key)
@@ -184,7 +185,8 @@
 	}
 }
 
-// checkAccountGuarantees checks the guarantees of one account. It adds the number of their members to membersByDomain.
+// checkAccountGuarantees checks the guarantees of one account. It adds the number of their members to membersByDomain, whose
+// key is a failure domain.
 func checkAccountGuarantees(faults *faultList, doc *Document, path string, a Account, membersByDomain map[string]int) {
 	accelerators := map[string]int{}
 	for i, g := range a.Guarantees {
