--- a/operatorapi/api.go
+++ b/operatorapi/api.go
@@ -2,7 +2,9 @@
 //
 // Operator tokens may use every path. The token of a client account may use the job paths, for the account's own jobs
 // only. Before version 0 of the configuration exists, the bootstrap token from the settings may initialise the
-// configuration and read its status.
+// configuration, look up or withdraw patches, and read the status of the configuration and the health.
+//
+// An entry VM is a VM that runs a gateway and a scheduler.
 package operatorapi
 
 import (
@@ -33,9 +35,11 @@
 // Jobs submits, cancels and reads jobs. Its errors are typed (package errkind); an error of kind errkind.Unknown means
 // that the change may have taken effect.
 type Jobs interface {
-	// Submit accepts a job. It chooses a failure domain for a job that names none.
+	// Submit accepts a job. It chooses a failure domain for a job that names none. A repeated submission of the same job
+	// returns its current status.
 	Submit(ctx context.Context, job jobs.Job) (jobs.Status, error)
 	Cancel(ctx context.Context, id string) (jobs.Status, error)
+	// Get returns an error of kind errkind.NotFound if there is no job with the id.
 	Get(ctx context.Context, id string) (jobs.Status, error)
 	// List returns the jobs of an account that are in a state. An empty argument matches all.
 	List(ctx context.Context, account string, state jobs.State) ([]jobs.Status, error)
@@ -57,8 +61,9 @@
 	FailureDomain string `json:"failure_domain"`
 	Role          string `json:"role"`
 	Reachable     bool   `json:"reachable"`
-	Ready         bool   `json:"ready"`
-	Leaving       bool   `json:"leaving"`
+	// Ready and Leaving are what the peer last reported about itself. The platform's VM list can also set Leaving.
+	Ready   bool `json:"ready"`
+	Leaving bool `json:"leaving"`
 }
 
 // Peers reports the state of the other processes of the deployment.
@@ -93,7 +98,7 @@
 const (
 	defaultMaxBodyBytes = 4 << 20
 	defaultTimeout      = 10 * time.Second
-	// defaultMaxConcurrent keeps the memory for request bodies below 64 times defaultMaxBodyBytes.
+	// defaultMaxConcurrent limits the memory for request bodies to 64 times defaultMaxBodyBytes.
 	defaultMaxConcurrent = 64
 )
 
@@ -104,7 +109,7 @@
 	slots   *semaphore.Weighted
 }
 
-// New returns the API.
+// New returns an API with the given options.
 func New(options Options) *API {
 	if options.MaxBodyBytes == 0 {
 		options.MaxBodyBytes = defaultMaxBodyBytes
--- a/operatorapi/api_test.go
+++ b/operatorapi/api_test.go
@@ -65,7 +65,7 @@
 	return c.fold(configlog.Record{Withdraw: &configlog.Withdraw{PatchID: id, Author: author, Reason: reason}})
 }
 
-// fakeJobs keeps jobs in memory by id. Its methods, except Get, return err.
+// fakeJobs keeps jobs in memory, by id. Its methods, except Get, return err.
 type fakeJobs struct {
 	jobs map[string]jobs.Status
 	err  error
@@ -173,7 +173,8 @@
 )
 
 // TestRequests guards against a path that accepts the wrong token, exposes another account's jobs, responds to bad input
-// without a typed error, or uses a status that does not match the kind of the error.
+// without a typed error, uses a status that does not match the kind of the error, or makes a change although it returns
+// an error.
 func TestRequests(t *testing.T) {
 	cases := map[string]struct {
 		method, path, token, body string
@@ -233,7 +234,7 @@
 			before := f.configuration.state.Doc.Version
 			status, body := f.do(t, c.method, c.path, c.token, c.body)
 			if status != c.status || !strings.Contains(body, c.inBody) {
-				t.Errorf("got status %d, body %s", status, body)
+				t.Errorf("got status %d, body %s; want the status and text of the case", status, body)
 			}
 			if status != 200 && (f.configuration.state.Doc.Version != before || f.jobs.jobs["j-1"].Job.ID != "") {
 				t.Error("a rejected request changed the configuration or submitted a job")
@@ -248,41 +249,41 @@
 	f := newFixture(t, true)
 	for path, want := range map[string]int{"/v1/config": 503, "/v1/jobs": 503, "/v1/config/status": 200, "/v1/health": 200} {
 		if status, body := f.do(t, "GET", path, "boot", ""); status != want {
-			t.Errorf("%s: got status %d, body %v", path, status, body)
+			t.Errorf("GET %s with the bootstrap token: got wrong status %d, body %v", path, status, body)
 		}
 	}
 	if status, _ := f.do(t, "POST", "/v1/config/init", "ana", initDocument); status != 401 {
-		t.Errorf("init with an unknown token: got status %d", status)
+		t.Errorf("init with an unknown token: got status %d, want 401", status)
 	}
 	if status, _ := f.do(t, "POST", "/v1/config/init", "boot", `{"failure_domains":{}}`); status != 400 {
-		t.Errorf("init with an invalid document: got status %d", status)
+		t.Errorf("init with an invalid document: got status %d, want 400", status)
 	}
 	if status, body := f.do(t, "POST", "/v1/config/init", "boot", initDocument); status != 200 || !strings.Contains(body, `"outcome":"accepted"`) {
-		t.Errorf("init: got status %d, body %v", status, body)
+		t.Errorf("init: got status %d, body %v; want 200 and the outcome accepted", status, body)
 	}
 	if status, _ := f.do(t, "GET", "/v1/config", "boot", ""); status != 401 {
-		t.Errorf("bootstrap token after version 0: got status %d", status)
+		t.Errorf("bootstrap token after version 0: got status %d, want 401", status)
 	}
 }
 
 // TestUnknownOutcome guards against a lost response of the log that is reported as a plain failure: the change may have
-// taken effect, so the outcome must be unknown and the remedy must name the command that finds out.
+// taken effect, so the outcome must be unknown and the remedy must name the command that looks it up.
 func TestUnknownOutcome(t *testing.T) {
 	f := newFixture(t, false)
 	f.configuration.outcome = configlog.Unknown
 	status, body := f.do(t, "POST", "/v1/config/patches", "ana", goodPatch)
 	for _, want := range []string{`"outcome":"unknown"`, `"id":"p-1"`, `"remedy":"run redwingctl config settle p-1"`} {
 		if status != http.StatusBadGateway || !strings.Contains(body, want) {
-			t.Errorf("%d %v", status, body)
+			t.Errorf("patch: got status %d, body %v; want 502, the outcome unknown, the id and the remedy", status, body)
 		}
 	}
 	f.jobs.err = errkind.New(errkind.Unknown, "run redwingctl job show j-1", "the response was lost")
 	if status, body := f.do(t, "POST", "/v1/jobs", "orders", goodJob); status != http.StatusBadGateway || !strings.Contains(body, `"outcome":"unknown"`) {
-		t.Errorf("%d %v", status, body)
+		t.Errorf("job: got status %d, body %v; want 502 and the outcome unknown", status, body)
 	}
 }
 
-// must returns value. It panics on an error, which only a mistake in the test can cause.
+// must returns value, or panics if err is not nil. It is for calls that only fail if the test itself is wrong.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
--- a/operatorapi/auth.go
+++ b/operatorapi/auth.go
@@ -8,10 +8,11 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// scope says which tokens a path accepts in addition to those of operators.
+// scope specifies which tokens a path accepts in addition to those of operators.
 type scope int
 
 const (
+	// scopeOperator accepts no other tokens.
 	scopeOperator scope = iota
 	// scopeBootstrap also accepts the bootstrap token while the configuration is not initialised.
 	scopeBootstrap
@@ -28,11 +29,11 @@
 	account  string
 }
 
-// canAccess reports whether the principal may read and change the jobs of an account.
+// canAccess reports whether the principal may submit, read and cancel the jobs of an account.
 func (p principal) canAccess(account string) bool { return p.operator != "" || p.account == account }
 
-// authenticate returns the principal of a request, or an error if its token is unknown or may not use a path of the
-// scope.
+// authenticate returns the principal of a request. The error has the kind Unauthenticated if the token is missing or
+// unknown, Forbidden if an account may not use paths of the scope, or Unavailable if the bootstrap token may not.
 func (a *API) authenticate(r *http.Request, s scope) (principal, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
@@ -51,8 +52,8 @@
 	return p, nil
 }
 
-// findPrincipal returns the principal whose token has the digest. It compares the digest with all known digests in
-// constant time, so that response times reveal nothing about them.
+// findPrincipal returns the principal whose token has the digest, and false if there is none. It compares the digest
+// with all known digests in constant time, so that response times reveal nothing about them.
 func (a *API) findPrincipal(digest string) (principal, bool) {
 	var found principal
 	doc := a.options.Configuration.Document()
--- a/operatorapi/config.go
+++ b/operatorapi/config.go
@@ -76,7 +76,8 @@
 	return decisionResponse(d)
 }
 
-// PlanResult is the response to a plan request: the changes that a patch would make to version Base.
+// PlanResult is the response to a plan request: the changes that a patch would make to version Base. Version is the
+// version that it would create.
 type PlanResult struct {
 	Base    uint64      `json:"base"`
 	Version uint64      `json:"version"`
@@ -112,8 +113,8 @@
 	return patch, setAuthor(&patch.Author, p)
 }
 
-// setAuthor sets the author to the operator whose token was sent. Any other name is rejected, so that the authors in the
-// configuration log can be trusted.
+// setAuthor sets an empty author to the operator whose token was sent. It returns an error for the name of anybody else,
+// so that the authors in the configuration log are authenticated.
 func setAuthor(author *string, p principal) error {
 	if *author != "" && *author != p.operator {
 		return errkind.New(errkind.Forbidden, "leave the author out or use that operator's token",
@@ -204,7 +205,7 @@
 		return 0, nil, err
 	}
 	if from > to {
-		return 0, nil, errkind.New(errkind.BadInput, "use a from that is not above to", "from version %d is above to version %d", from, to)
+		return 0, nil, errkind.New(errkind.BadInput, "give a from version that is not above the to version", "from version %d is above to version %d", from, to)
 	}
 	return http.StatusOK, logEntries(state, from, to), nil
 }
@@ -212,8 +213,8 @@
 // LogEntry is one decision in the configuration log.
 type LogEntry struct {
 	configlog.Decision
-	// Summary has one line for each field that an accepted patch changed. It is empty if the previous version is no longer
-	// kept.
+	// Summary has one line for each field that an accepted patch changed. It is empty for version 0, for a refused patch,
+	// and if the previous version is no longer available.
 	Summary []string `json:"summary,omitempty"`
 }
 
@@ -226,7 +227,7 @@
 		entry := LogEntry{Decision: d}
 		if d.Outcome == configlog.Accepted && d.Version > 0 {
 			if doc == nil || doc.Version != d.Version-1 {
-				doc, _ = state.At(d.Version - 1) // if it is no longer kept, the entry has no summary
+				doc, _ = state.At(d.Version - 1) // without that version the entry has no summary
 			}
 			if doc != nil {
 				entry.Summary = config.Describe(doc, d.Ops)
@@ -265,7 +266,8 @@
 	return http.StatusOK, body, nil
 }
 
-// HealthResult is the health of this daemon and of its peers as this daemon observes them.
+// HealthResult is the health of this daemon and of its peers as this daemon observes them. ActiveSchedulers maps failure
+// domains to VMs, see Peers.
 type HealthResult struct {
 	Ready            bool              `json:"ready"`
 	Configuration    configlog.Status  `json:"configuration"`
--- a/operatorapi/jobs.go
+++ b/operatorapi/jobs.go
@@ -11,7 +11,8 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// JobResult is the response to a submission or cancellation.
+// JobResult is the response to a submission or cancellation. Outcome is always "completed", also for a repeated
+// submission.
 type JobResult struct {
 	Outcome string      `json:"outcome"`
 	Job     jobs.Status `json:"job"`
@@ -46,8 +47,8 @@
 // maxCommandBytes limits the total length of the arguments of a job's command.
 const maxCommandBytes = 64 << 10
 
-// validateJob checks a job against the configuration and gives a job without an id a random one. Whether workers can hold
-// the shape is checked by Jobs.
+// validateJob checks a job against the configuration and gives a job without an id a random one. It does not check
+// whether workers can hold the shape; Jobs does.
 func (a *API) validateJob(job *jobs.Job) error {
 	doc := a.options.Configuration.Document()
 	if job.ID == "" {
@@ -79,7 +80,8 @@
 	return nil
 }
 
-// validID reports whether id can be the id of a patch or job: 1 to 64 letters, digits, '.', '_' or '-'.
+// validID reports whether id can be the id of a patch or job: 1 to 64 letters, digits, '.', '_' or '-'. Such an id needs
+// no escaping in a URL path.
 func validID(id string) bool {
 	if id == "" || len(id) > 64 {
 		return false
@@ -143,7 +145,7 @@
 	return http.StatusOK, status, err
 }
 
-// WhyResult is the response to a why request: the reason for the state of a job.
+// WhyResult is the response to a why request: the reason for the state of a job, or the state itself if there is none.
 type WhyResult struct {
 	ID  string `json:"id"`
 	Why string `json:"why"`
--- a/operatorapi/respond.go
+++ b/operatorapi/respond.go
@@ -14,10 +14,11 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// handler serves one path. It returns the HTTP status and body of the response, or a typed error.
+// handler serves one path. It returns the HTTP status and body of the response, or a typed error, in which case both are
+// ignored.
 type handler func(ctx context.Context, r *http.Request, p principal) (status int, body any, err error)
 
-// tracer creates the spans of this package. They are dropped unless the daemon installs an exporter.
+// tracer creates the spans of this package. They are discarded unless the daemon installs an exporter.
 var tracer = otel.Tracer("github.com/redwingthread/redwingthread/operatorapi")
 
 // handle registers h for pattern. It limits concurrency, body size and handling time, starts a trace span, authenticates
@@ -67,7 +68,7 @@
 	Kind    errkind.Kind `json:"kind"`
 	Message string       `json:"message"`
 	Remedy  string       `json:"remedy"`
-	// Outcome is "unknown" if the request may have taken effect, otherwise "not_run".
+	// Outcome is "unknown" if the request may have taken effect (kinds Unknown and Internal), otherwise "not_run".
 	Outcome string `json:"outcome"`
 }
 
