--- a/operatorclient/caller.go
+++ b/operatorclient/caller.go
@@ -81,7 +81,7 @@
 }
 
 // Send sends a request to a service. It returns an error for any outcome other than completed; the error has kind
-// errkind.Unknown if the request may have run.
+// errkind.Unknown if the request may have run. The response is returned with an error, too.
 func (c *CallerClient) Send(ctx context.Context, request ServiceRequest) (ServiceResponse, error) {
 	header := http.Header{}
 	if request.Key != "" {
@@ -134,7 +134,7 @@
 	return errkind.New(errkind.Unknown, typed.Remedy, "%s", typed.Message)
 }
 
-// send sends one request and reads the whole response.
+// send sends one request and returns the response and its body, of which it reads at most maxResponseBytes.
 func (c *CallerClient) send(ctx context.Context, method, path string, header http.Header, body []byte) (*http.Response, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
--- a/operatorclient/client.go
+++ b/operatorclient/client.go
@@ -2,7 +2,7 @@
 // the configuration patches for the commands of redwingctl.
 //
 // Errors are typed (package errkind). If it cannot be determined whether a change took effect, the error has kind
-// errkind.Unknown and its remedy names the command that finds out.
+// errkind.Unknown and its remedy names the command that shows whether it did.
 package operatorclient
 
 import (
@@ -46,8 +46,9 @@
 	}
 }
 
-// do sends one request and decodes the response into result. unknownRemedy is the remedy of an error that leaves the
-// effect of the request unknown; it is empty for requests that change nothing.
+// do sends one request and decodes the response body into result. query and body are nil if the request has none.
+// unknownRemedy is the remedy of an error that leaves the effect of the request unknown; it is empty for requests that
+// change nothing.
 func (c *Client) do(ctx context.Context, method, path string, query, body, result any, unknownRemedy string) error {
 	s := withMethod(sling.New().Base(c.base), method, path).Set("Authorization", "Bearer "+c.token)
 	if query != nil {
@@ -87,8 +88,9 @@
 	return s.Get(path)
 }
 
-// transportError returns the typed error of a request that got no complete response. If the connection could not be
-// opened, nothing was sent and the request did not run. An empty unknownRemedy marks a request that changes nothing.
+// transportError returns the typed error of a request that got no complete response. Its kind is Unavailable if the
+// connection could not be opened, because nothing was sent then, or if unknownRemedy is empty, which means that the
+// request changes nothing. Otherwise it is Unknown.
 func transportError(err error, unknownRemedy, format string, args ...any) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -106,7 +108,8 @@
 	Nested *errkind.Error `json:"error"`
 }
 
-// responseError returns the typed error in the body of an error response.
+// responseError returns the typed error in the body of an error response, or an error of kind errkind.Internal if it
+// contains none.
 func responseError(status int, raw []byte) error {
 	var body errorBody
 	_ = json.Unmarshal(raw, &body)
@@ -120,12 +123,13 @@
 	return errkind.New(body.Kind, body.Remedy, "%s", body.Message)
 }
 
-// settleRemedy returns the remedy that names the command which looks up the decision about a patch.
+// settleRemedy returns the remedy that names the command that looks up the decision about a patch.
 func settleRemedy(id string) string {
 	return "the patch may be in force; run redwingctl config settle " + id
 }
 
-// Init submits a document as version 0 of the configuration.
+// Init submits a document as version 0 of the configuration and returns the decision about it. Unless it was accepted,
+// it returns an error.
 func (c *Client) Init(ctx context.Context, document json.RawMessage) (Decision, error) {
 	var d Decision
 	err := c.do(ctx, http.MethodPost, "/v1/config/init", nil, document, &d,
@@ -148,7 +152,8 @@
 	return d, err
 }
 
-// Settle looks up the decision about a patch in the configuration log.
+// Settle looks up the decision about a patch in the configuration log. A refused patch is no error. If there is no
+// decision yet, the error has kind errkind.Unknown.
 func (c *Client) Settle(ctx context.Context, id string) (Decision, error) {
 	var d Decision
 	err := c.do(ctx, http.MethodGet, "/v1/config/patches/"+url.PathEscape(id), nil, nil, &d, "")
@@ -162,7 +167,7 @@
 }
 
 // Withdraw prevents an undecided patch from taking effect and returns the decision about it. A patch that was decided
-// before keeps its decision.
+// before keeps its decision. If the decision cannot be read, the error has kind errkind.Unknown.
 func (c *Client) Withdraw(ctx context.Context, id, author, reason string) (Decision, error) {
 	var d Decision
 	err := c.do(ctx, http.MethodPost, "/v1/config/patches/"+url.PathEscape(id)+"/withdraw", nil,
@@ -170,7 +175,7 @@
 	return d, err
 }
 
-// The query parameters of requests.
+// versionQuery, logQuery and jobsQuery hold the query parameters of requests.
 type versionQuery struct {
 	Version string `url:"version,omitempty"`
 }
@@ -223,7 +228,7 @@
 	return h, err
 }
 
-// SubmitJob submits a job. The job needs an id, so that a repeated submission is recognised as the same job.
+// SubmitJob submits a job. The job must have an id, so that a repeated submission is recognised as the same job.
 func (c *Client) SubmitJob(ctx context.Context, job jobs.Job) (JobOutcome, error) {
 	var r JobOutcome
 	err := c.do(ctx, http.MethodPost, "/v1/jobs", nil, job, &r,
--- a/operatorclient/client_test.go
+++ b/operatorclient/client_test.go
@@ -16,7 +16,8 @@
 )
 
 // TestErrorWithoutResponse guards against two wrong errors: a lost response reported as a change that did not happen,
-// and a refused connection reported as a change that may have happened.
+// and a refused connection reported as a change that may have happened. It also guards against a request that is sent
+// twice.
 func TestErrorWithoutResponse(t *testing.T) {
 	var requests atomic.Int32
 	handlers := map[string]http.HandlerFunc{
@@ -39,13 +40,13 @@
 			client := New(server.Listener.Addr().String(), "t", time.Second)
 			if _, err := client.Submit(context.Background(), Patch{ID: "p-1"}); !errkind.Is(err, errkind.Unknown) ||
 				errkind.As(err).Remedy != settleRemedy("p-1") {
-				t.Errorf("change: got %v", err)
+				t.Errorf("change: got error %v, want unknown with the remedy config settle", err)
 			}
 			if _, err := client.Status(context.Background()); !errkind.Is(err, errkind.Unavailable) {
-				t.Errorf("read: got %v", err)
+				t.Errorf("read: got error %v, want unavailable", err)
 			}
 			if requests.Load() != 2 {
-				t.Errorf("2 requests arrived %d times", requests.Load())
+				t.Errorf("the server got %d requests, want 2", requests.Load())
 			}
 		})
 	}
@@ -53,10 +54,10 @@
 	address := server.Listener.Addr().String()
 	server.Close()
 	if _, err := New(address, "t", time.Second).Submit(context.Background(), Patch{}); !errkind.Is(err, errkind.Unavailable) {
-		t.Errorf("no listener: got %v", err)
+		t.Errorf("no listener: got error %v, want unavailable", err)
 	}
 	if _, err := NewCallerClient(address, "t", time.Second).Send(context.Background(), ServiceRequest{Method: "POST"}); !errkind.Is(err, errkind.Unavailable) {
-		t.Errorf("no listener of the caller API: got %v", err)
+		t.Errorf("no listener of the caller API: got error %v, want unavailable", err)
 	}
 }
 
@@ -86,7 +87,7 @@
 			doc := &Document{Accounts: map[string]config.Account{"a": {Name: "a", Guarantees: old}}}
 			ops, err := c.edit(doc)
 			if err != nil || len(ops) != 1 || ops[0].Path != "accounts/a" {
-				t.Fatalf("got error %v, ops %+v", err, ops)
+				t.Fatalf("got error %v, ops %+v; want one op on accounts/a", err, ops)
 			}
 			if got := guaranteesOf(t, ops[0]); got != c.want {
 				t.Errorf("got %s, want %s", got, c.want)
--- a/operatorclient/edit.go
+++ b/operatorclient/edit.go
@@ -16,8 +16,8 @@
 type Edit func(doc *Document) ([]Op, error)
 
 // Change reads the version in force, builds a patch against it and submits the patch. It does not retry after a conflict,
-// because the operator should first see the change that won. The submitted patch is returned with every outcome, so that
-// its decision can be looked up later.
+// because the operator should first see the change that was accepted instead. The submitted patch is returned with an
+// error of Submit, too, so that its decision can be looked up later.
 func (c *Client) Change(ctx context.Context, author, reason string, edit Edit) (Patch, Decision, error) {
 	doc, err := c.Document(ctx, nil)
 	if err != nil {
@@ -36,7 +36,7 @@
 func setOp(path string, item any) ([]Op, error) {
 	value, err := json.Marshal(item)
 	if err != nil {
-		return nil, errkind.Wrap(err, errkind.Internal, "report this", "cannot encode the value of %s", path)
+		return nil, errkind.Wrap(err, errkind.Internal, "report this as a bug", "cannot encode the value of %s", path)
 	}
 	return []Op{{Op: config.OpSet, Path: path, Value: value}}, nil
 }
@@ -52,7 +52,7 @@
 	}
 }
 
-// RemoveAccount returns the edit that removes an account and its guarantees.
+// RemoveAccount returns the edit that removes an account and its guarantees. The edit fails if there is no such account.
 func RemoveAccount(name string) Edit {
 	return func(doc *Document) ([]Op, error) {
 		if _, err := findAccount(doc, name); err != nil {
@@ -63,7 +63,7 @@
 }
 
 // SetGuarantee returns the edit that gives an account the guarantee g. It replaces the account's guarantee of the same
-// failure domain and shape, if there is one.
+// failure domain and shape, if there is one. The edit fails if there is no such account.
 func SetGuarantee(name string, g config.Guarantee) Edit {
 	return func(doc *Document) ([]Op, error) {
 		a, err := findAccount(doc, name)
@@ -79,7 +79,7 @@
 }
 
 // RemoveGuarantee returns the edit that removes the guarantees of an account in a failure domain: those of the shape, or
-// all if shape is nil.
+// all if shape is nil. The edit fails if there is none.
 func RemoveGuarantee(name, failureDomain string, shape *resource.Shape) Edit {
 	return func(doc *Document) ([]Op, error) {
 		a, err := findAccount(doc, name)
@@ -103,7 +103,8 @@
 	return func(*Document) ([]Op, error) { return setOp("drains/"+name, config.Drain{VM: name, Reason: reason}) }
 }
 
-// StopDrain returns the edit that ends the drain of a VM or worker, so that it accepts work again.
+// StopDrain returns the edit that ends the drain of a VM or worker, so that it accepts work again. The edit fails if it
+// is not drained.
 func StopDrain(name string) Edit {
 	return func(doc *Document) ([]Op, error) {
 		if _, ok := doc.Drains[name]; !ok {
