--- a/cmd/redwing-gateway/main.go
+++ b/cmd/redwing-gateway/main.go
@@ -1,4 +1,5 @@
-// Command redwing-gateway is the gateway daemon of an entry VM. It serves the caller API and the operator API.
+// Command redwing-gateway is the gateway daemon of an entry VM, which runs a gateway and a scheduler. It serves the
+// caller API and the operator API.
 package main
 
 import (
--- a/cmd/redwing-node/main.go
+++ b/cmd/redwing-node/main.go
@@ -1,5 +1,5 @@
-// Command redwing-node is the process that runs on each VM. It serves callers, and it schedules tasks while its VM
-// holds the schedule.
+// Command redwing-node is the process that runs on each VM. It serves callers. One VM at a time holds the schedule, the
+// right to schedule tasks; the process of that VM also schedules.
 package main
 
 import (
@@ -39,7 +39,7 @@
 	os.Exit(daemon.Main(func(ctx context.Context) error { return run(ctx, reloadSignal, *check, *level) }))
 }
 
-// run loads the settings and runs the node until ctx ends. With check set it returns once the settings are checked.
+// run loads the settings and runs the node until ctx ends. If check is set, it returns after it has checked the settings.
 func run(ctx context.Context, reloadSignal <-chan os.Signal, check bool, level string) error {
 	path, err := platform.SettingsPath()
 	if err != nil {
--- a/cmd/redwing-node/main_test.go
+++ b/cmd/redwing-node/main_test.go
@@ -45,7 +45,7 @@
 	_ = process.Wait()
 	status, ok := process.ProcessState.Sys().(syscall.WaitStatus)
 	if !ok || status.Signaled() {
-		t.Fatalf("the process was ended by a signal: %v", process.ProcessState)
+		t.Fatalf("the process did not exit by itself: %v", process.ProcessState)
 	}
 }
 
--- a/cmd/redwing-node/reload.go
+++ b/cmd/redwing-node/reload.go
@@ -17,7 +17,7 @@
 const reloadInterval = 5 * time.Second
 
 // reloader applies changes of the settings file. Only the address of the store can change in a running process. Other
-// changes take effect at the next start; the log says so for the listen addresses.
+// changes take effect at the next start; for the listen addresses, the reloader logs restart_needed.
 type reloader struct {
 	path     string
 	settings *vmsettings.Settings
@@ -50,7 +50,8 @@
 	}
 }
 
-// reload reads the settings file and applies its changes. If the file is not valid, the previous settings stay in force.
+// reload reads the settings file and applies its changes. If the file cannot be read or is not valid, the previous settings
+// stay in force.
 func (r *reloader) reload() {
 	settings, err := platform.LoadSettings(r.path)
 	if err != nil {
--- a/cmd/redwing-scheduler/main.go
+++ b/cmd/redwing-scheduler/main.go
@@ -1,5 +1,5 @@
-// Command redwing-scheduler is the scheduler daemon of an entry VM. It plans the jobs of its failure domain; one
-// scheduler of each failure domain is active, the others are on standby.
+// Command redwing-scheduler is the scheduler daemon of an entry VM, which runs a gateway and a scheduler. It plans the
+// jobs of its failure domain. One scheduler of each failure domain is active, the others are on standby.
 package main
 
 import (
--- a/cmd/redwing-standin/main_test.go
+++ b/cmd/redwing-standin/main_test.go
@@ -14,7 +14,7 @@
 func TestSampleLoads(t *testing.T) {
 	s, err := standin.LoadSettings("../../examples/standin.toml")
 	if err != nil || s.Workers[0].Count != 8 || s.Endpoints[0].Slots != 8 {
-		t.Fatalf("got error %v, settings %+v", err, s)
+		t.Fatalf("got error %v, settings %+v; want 8 workers and 8 slots", err, s)
 	}
 }
 
@@ -38,7 +38,7 @@
 				t.Fatal(err)
 			}
 			if err := run(ended, path); errkind.KindOf(err) != c.kind {
-				t.Fatalf("got error %v", err)
+				t.Fatalf("got error %v, want the kind of the case", err)
 			}
 		})
 	}
--- a/cmd/redwingctl/account.go
+++ b/cmd/redwingctl/account.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// createdAccount is the result of account create.
+// createdAccount is the JSON output of account create.
 type createdAccount struct {
 	Account string `json:"account"`
 	Version uint64 `json:"version"`
@@ -71,7 +71,8 @@
 	}
 }
 
-// submitEdit applies an edit to the version in force and submits it as a patch.
+// submitEdit applies an edit to the version in force and submits it as a patch. It returns the patch with an error of the
+// submission, too.
 func (inv *invocation) submitEdit(change changeFlags, edit operatorclient.Edit) (operatorclient.Patch, operatorclient.Decision, error) {
 	var none operatorclient.Decision
 	if err := change.check(); err != nil {
@@ -84,7 +85,7 @@
 	return client.Change(inv.ctx, change.author, change.reason, edit)
 }
 
-// submitAndPrint submits an edit and prints the decision about it.
+// submitAndPrint submits an edit and prints the decision about it. Unless the patch was accepted, it returns an error.
 func (inv *invocation) submitAndPrint(change changeFlags, edit operatorclient.Edit) error {
 	_, decision, err := inv.submitEdit(change, edit)
 	if err != nil {
--- a/cmd/redwingctl/api_test.go
+++ b/cmd/redwingctl/api_test.go
@@ -19,8 +19,8 @@
 	"github.com/redwingthread/redwingthread/standin"
 )
 
-// singleVM implements the peers and jobs of the operator API for a deployment in which only vm-1 responds. It does not
-// run jobs.
+// singleVM implements the peers and jobs of the operator API for a deployment in which only vm-1 responds. It accepts
+// jobs, but does not keep or run them.
 type singleVM struct{ follower *configlog.Follower }
 
 func (vm singleVM) ConfigStatus(context.Context) []operatorapi.VMStatus {
@@ -84,7 +84,8 @@
 	return &deployment{t: t, log: log, address: api.Listener.Addr().String(), token: "first"}
 }
 
-// ctl runs redwingctl with a command line, checks the exit code and returns standard output and standard error.
+// ctl runs redwingctl with a command line and returns its output, standard output before standard error. It fails the
+// test unless the exit code is code.
 func (d *deployment) ctl(code int, line string) string {
 	d.t.Helper()
 	env := map[string]string{addressVariable: d.address, tokenVariable: d.token}
@@ -159,7 +160,7 @@
 	}
 	for _, s := range steps {
 		if got := d.ctl(s.code, s.line); !strings.Contains(got, s.want) {
-			t.Errorf("%s: got %s", s.line, got)
+			t.Errorf("%s: got output %s, want the text of the step", s.line, got)
 		}
 	}
 	d.token = "wrong"
@@ -179,15 +180,15 @@
 	down.Down = true
 	d.log.SetFaults(down)
 	if got := d.ctl(8, "config submit "+patch); !strings.Contains(got, "config settle late") {
-		t.Errorf("got %s", got)
+		t.Errorf("patch during the outage: got %s, want the remedy config settle", got)
 	}
 	d.log.SetFaults(standin.LogFaults{})
 	got := d.ctl(0, "config withdraw late -author ana -reason outage")
 	if !strings.Contains(got, "refused") {
-		t.Errorf("withdrawn patch: got %s", got)
+		t.Errorf("withdrawn patch: got %s, want refused", got)
 	}
 	if got := d.ctl(0, "config settle late"); !strings.Contains(got, "refused") {
-		t.Errorf("settled patch: got %s", got)
+		t.Errorf("settled patch: got %s, want refused", got)
 	}
 	d.ctl(5, "config submit "+patch)
 }
--- a/cmd/redwingctl/command.go
+++ b/cmd/redwingctl/command.go
@@ -112,7 +112,7 @@
 	return 0
 }
 
-// newFlagSet returns a flag set for a command. It returns parse errors to its user and prints nothing.
+// newFlagSet returns a flag set for a command. Its Parse method returns errors and prints nothing.
 func newFlagSet(command string) *flag.FlagSet {
 	f := flag.NewFlagSet("redwingctl "+command, flag.ContinueOnError)
 	f.SetOutput(io.Discard)
@@ -152,7 +152,7 @@
 	}
 }
 
-// reportError prints err to standard error in the output format and returns its exit code.
+// reportError prints err to standard error in the output format and returns the exit code of its kind.
 func (e *environment) reportError(output string, err error) int {
 	typed := errkind.As(err)
 	if output == outputJSON {
--- a/cmd/redwingctl/config_read.go
+++ b/cmd/redwingctl/config_read.go
@@ -183,14 +183,15 @@
 	}
 }
 
-// replay prints the changes one by one. If step is set, it waits for a line of input after each change but the last.
+// replay prints the changes one by one. If step is set, it waits for a line of input after each change but the last, and
+// ends if there is none.
 func (inv *invocation) replay(changes []operatorclient.LogEntry, step bool) {
 	input := bufio.NewScanner(inv.stdin)
 	for i, change := range changes {
 		fmt.Fprintf(inv.stdout, "version %d  %s  %s\n  reason: %s\n", change.Version, formatTime(change.At), change.Author, change.Reason)
 		inv.lines(change.Summary)
 		if len(change.Summary) == 0 && len(change.Ops) > 0 {
-			inv.lines([]string{fmt.Sprintf("%d ops; the previous version is no longer kept", len(change.Ops))})
+			inv.lines([]string{fmt.Sprintf("%d ops; the previous version is no longer available", len(change.Ops))})
 		}
 		if step && i+1 < len(changes) && !input.Scan() {
 			return
--- a/cmd/redwingctl/job.go
+++ b/cmd/redwingctl/job.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// waitInterval is the poll interval of job show -wait.
+// waitInterval is the time between two requests of job show -wait.
 const waitInterval = 200 * time.Millisecond
 
 func jobShow(f *flag.FlagSet) func(*invocation) error {
@@ -150,8 +150,8 @@
 	}
 }
 
-// waitFor polls a job until it is in the state, and returns an error once it has ended in another one or the timeout has
-// passed. Errors of kind errkind.Unavailable are retried until then.
+// waitFor requests the status of a job repeatedly until the job is in the state. It returns an error if the job ended in
+// another state, a request failed, or the timeout has passed. It retries requests that fail with kind errkind.Unavailable.
 func (inv *invocation) waitFor(client *operatorclient.Client, id string, state jobs.State, timeout time.Duration) (jobs.Status, error) {
 	deadline := time.Now().Add(timeout)
 	for {
--- a/cmd/redwingctl/main_test.go
+++ b/cmd/redwingctl/main_test.go
@@ -18,8 +18,8 @@
 	"github.com/redwingthread/redwingthread/operatorclient"
 )
 
-// fakeAPI responds to every request with status and response, and records the last request. A status of 0 closes the
-// connection without a response.
+// fakeAPI responds to every request with status and response, and records the last one. If document is set, this does not
+// apply to GET /v1/config. A status of 0 closes the connection without a response.
 type fakeAPI struct {
 	t        *testing.T
 	status   int
@@ -70,61 +70,63 @@
 
 const changeArgs = " -author ana -reason test"
 
-// TestExitCodes guards against a command that returns an exit code other than the documented one, sends a request with
-// the wrong method or path, prints the token, or reports an error without a remedy.
+// TestExitCodes guards against a command that returns another exit code than the constant exitCodes documents, sends a
+// request with the wrong method or path or without the token, prints the token, or reports an error without a remedy.
 func TestExitCodes(t *testing.T) {
+	// errorJSON returns the body of an error response. Clients do not read the outcome in it.
 	errorJSON := func(kind errkind.Kind) string {
 		return fmt.Sprintf(`{"kind":%q,"message":"m","remedy":"do this","outcome":"not_run"}`, kind)
 	}
 	const accepted = `{"id":"p","outcome":"accepted","version":8}`
-	const status = `{"job":{"id":"j"},"state":"completed"}`
+	const jobStatus = `{"job":{"id":"j"},"state":"completed"}`
 	cases := map[string]struct {
-		args        string
-		status      int
-		response    string
-		code        int
+		args     string
+		status   int // HTTP status; 0 for a request without a response
+		response string
+		code     int
+		// wantRequest is the method and path of the last request. It is not checked if it is empty.
 		wantRequest string
 	}{
-		"account create":   {"account create orders" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
-		"no author":        {"account create orders -reason r", 200, accepted, 2, ""},
-		"account exists":   {"account create scan" + changeArgs, 200, accepted, 5, ""},
-		"unknown account":  {"account remove none" + changeArgs, 200, accepted, 4, ""},
-		"lost patch":       {"account remove scan" + changeArgs, 0, "", 8, "POST /v1/config/patches"},
-		"refused patch":    {"account remove scan" + changeArgs, 409, `{"outcome":"refused","error":` + errorJSON("conflict") + `}`, 5, ""},
-		"infeasible":       {"guarantee set scan -failure-domain fd-a -members 9 -accelerators 8" + changeArgs, 422, errorJSON("infeasible"), 6, ""},
-		"bad shape":        {"guarantee set scan -failure-domain fd-a -members 0" + changeArgs, 200, accepted, 2, ""},
-		"no guarantee":     {"guarantee remove scan -failure-domain fd-b" + changeArgs, 200, accepted, 4, ""},
-		"guarantee remove": {"guarantee remove scan -failure-domain fd-a" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
-		"drain start":      {"drain start vm-1" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
-		"not drained":      {"drain stop vm-1" + changeArgs, 200, accepted, 4, ""},
-		"drain stop":       {"drain stop vm-9" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
-		"job submit":       {"job submit -id j -members 1 -accelerators 1 -- sleep 2", 200, `{"outcome":"completed","job":` + status + `}`, 0, "POST /v1/jobs"},
-		"job lost":         {"job submit -id j -members 1 -accelerators 1 -- sleep 2", 0, "", 8, "POST /v1/jobs"},
-		"no command line":  {"job submit -members 1 -accelerators 1", 200, "", 2, ""},
-		"job list":         {"job list -account scan -state waiting", 200, `[` + status + `]`, 0, "GET /v1/jobs?account=scan&state=waiting"},
-		"job show":         {"job show j", 200, status, 0, "GET /v1/jobs/j"},
-		"job wait":         {"job show j -wait completed", 200, status, 0, ""},
-		"job wait other":   {"job show j -wait running", 200, status, 5, ""},
-		"job why":          {"job why j", 200, `{"id":"j","why":"waits"}`, 0, "GET /v1/jobs/j/why"},
-		"job cancel":       {"job cancel j", 200, `{"outcome":"completed","job":` + status + `}`, 0, "DELETE /v1/jobs/j"},
-		"job unknown":      {"job show j", 404, errorJSON("not_found"), 4, ""},
-		"read lost":        {"job show j", 0, "", 7, "GET /v1/jobs/j"},
-		"config settle":    {"config settle p", 200, accepted, 0, "GET /v1/config/patches/p"},
-		"unsettled":        {"config settle p", 502, `{"outcome":"unknown","error":` + errorJSON("unknown") + `}`, 8, ""},
-		"config withdraw":  {"config withdraw p" + changeArgs, 200, accepted, 0, "POST /v1/config/patches/p/withdraw"},
-		"config log":       {"config log -from 2 -to 3", 200, `[` + accepted + `]`, 0, "GET /v1/config/log?from=2&to=3"},
-		"config replay":    {"config replay", 200, `[` + accepted + `]`, 0, "GET /v1/config/log?from=0"},
-		"config status":    {"config status", 200, `{"self":{},"vms":[{"vm":"v","version":"unknown"}]}`, 0, "GET /v1/config/status"},
-		"config diff":      {"config diff 3 4", 200, "", 0, ""},
-		"health":           {"health", 200, `{"ready":true}`, 0, "GET /v1/health"},
-		"not ready":        {"health", 200, `{"ready":false}`, 7, "GET /v1/health"},
-		"wrong token":      {"health", 401, errorJSON("unauthenticated"), 3, ""},
-		"no typed error":   {"health", 500, "<html>", 1, ""},
-		"not JSON":         {"health", 200, "<html>", 1, ""},
-		"unknown command":  {"frobnicate", 200, "", 2, ""},
-		"unknown flag":     {"health -colour", 200, "", 2, ""},
-		"unknown format":   {"health -o xml", 200, "", 2, ""},
-		"extra argument":   {"health now", 200, "", 2, ""},
+		"account create":              {"account create orders" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
+		"no author":                   {"account create orders -reason r", 200, accepted, 2, ""},
+		"account exists":              {"account create scan" + changeArgs, 200, accepted, 5, ""},
+		"unknown account":             {"account remove none" + changeArgs, 200, accepted, 4, ""},
+		"patch without response":      {"account remove scan" + changeArgs, 0, "", 8, "POST /v1/config/patches"},
+		"refused patch":               {"account remove scan" + changeArgs, 409, `{"outcome":"refused","error":` + errorJSON("conflict") + `}`, 5, ""},
+		"infeasible":                  {"guarantee set scan -failure-domain fd-a -members 9 -accelerators 8" + changeArgs, 422, errorJSON("infeasible"), 6, ""},
+		"bad shape":                   {"guarantee set scan -failure-domain fd-a -members 0" + changeArgs, 200, accepted, 2, ""},
+		"no guarantee":                {"guarantee remove scan -failure-domain fd-b" + changeArgs, 200, accepted, 4, ""},
+		"guarantee remove":            {"guarantee remove scan -failure-domain fd-a" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
+		"drain start":                 {"drain start vm-1" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
+		"not drained":                 {"drain stop vm-1" + changeArgs, 200, accepted, 4, ""},
+		"drain stop":                  {"drain stop vm-9" + changeArgs, 200, accepted, 0, "POST /v1/config/patches"},
+		"job submit":                  {"job submit -id j -members 1 -accelerators 1 -- sleep 2", 200, `{"outcome":"completed","job":` + jobStatus + `}`, 0, "POST /v1/jobs"},
+		"submission without response": {"job submit -id j -members 1 -accelerators 1 -- sleep 2", 0, "", 8, "POST /v1/jobs"},
+		"no command line":             {"job submit -members 1 -accelerators 1", 200, "", 2, ""},
+		"job list":                    {"job list -account scan -state waiting", 200, `[` + jobStatus + `]`, 0, "GET /v1/jobs?account=scan&state=waiting"},
+		"job show":                    {"job show j", 200, jobStatus, 0, "GET /v1/jobs/j"},
+		"job wait":                    {"job show j -wait completed", 200, jobStatus, 0, ""},
+		"job wait other":              {"job show j -wait running", 200, jobStatus, 5, ""},
+		"job why":                     {"job why j", 200, `{"id":"j","why":"waits"}`, 0, "GET /v1/jobs/j/why"},
+		"job cancel":                  {"job cancel j", 200, `{"outcome":"completed","job":` + jobStatus + `}`, 0, "DELETE /v1/jobs/j"},
+		"job unknown":                 {"job show j", 404, errorJSON("not_found"), 4, ""},
+		"read without response":       {"job show j", 0, "", 7, "GET /v1/jobs/j"},
+		"config settle":               {"config settle p", 200, accepted, 0, "GET /v1/config/patches/p"},
+		"unsettled":                   {"config settle p", 502, `{"outcome":"unknown","error":` + errorJSON("unknown") + `}`, 8, ""},
+		"config withdraw":             {"config withdraw p" + changeArgs, 200, accepted, 0, "POST /v1/config/patches/p/withdraw"},
+		"config log":                  {"config log -from 2 -to 3", 200, `[` + accepted + `]`, 0, "GET /v1/config/log?from=2&to=3"},
+		"config replay":               {"config replay", 200, `[` + accepted + `]`, 0, "GET /v1/config/log?from=0"},
+		"config status":               {"config status", 200, `{"self":{},"vms":[{"vm":"v","version":"unknown"}]}`, 0, "GET /v1/config/status"},
+		"config diff":                 {"config diff 3 4", 200, "", 0, ""},
+		"health":                      {"health", 200, `{"ready":true}`, 0, "GET /v1/health"},
+		"not ready":                   {"health", 200, `{"ready":false}`, 7, "GET /v1/health"},
+		"wrong token":                 {"health", 401, errorJSON("unauthenticated"), 3, ""},
+		"no typed error":              {"health", 500, "<html>", 1, ""},
+		"not JSON":                    {"health", 200, "<html>", 1, ""},
+		"unknown command":             {"frobnicate", 200, "", 2, ""},
+		"unknown flag":                {"health -colour", 200, "", 2, ""},
+		"unknown format":              {"health -o xml", 200, "", 2, ""},
+		"extra argument":              {"health now", 200, "", 2, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -137,8 +139,9 @@
 				t.Errorf("got request %q, want %q", got, c.wantRequest)
 			}
 			if api.token != "" && api.token != "Bearer secret-token" || strings.Contains(stdout+stderr, "secret-token") {
-				t.Errorf("token: sent %q, output %s%s", api.token, stdout, stderr)
+				t.Errorf("got authorization %q, output %s%s; want the bearer token in the request only", api.token, stdout, stderr)
 			}
+			// A semicolon precedes the remedy in the text of an errkind.Error.
 			if code != 0 && !strings.Contains(stderr, ";") {
 				t.Errorf("error without remedy: %s", stderr)
 			}
@@ -146,14 +149,15 @@
 	}
 }
 
-// TestPatchOfCommand guards against a command whose patch is not based on the version that the command read, or that
-// lacks the author or reason.
+// TestPatchOfCommand guards against a command whose patch is not based on the version that the command read, lacks the
+// author or reason, or sets another item than the command names, and against a printed token that does not match the
+// digest in the patch.
 func TestPatchOfCommand(t *testing.T) {
 	api := &fakeAPI{status: 200, response: `{"outcome":"accepted","version":8}`, document: testDocument}
 	code, stdout, _ := run(t, api, "", strings.Fields("account create orders -weight 3 -o json"+changeArgs)...)
 	var created createdAccount
 	if err := json.Unmarshal([]byte(stdout), &created); code != 0 || err != nil || created.Version != 8 {
-		t.Fatalf("got code %d, error %v, output %s", code, err, stdout)
+		t.Fatalf("got code %d, error %v, output %s; want code 0 and version 8", code, err, stdout)
 	}
 	var patch operatorclient.Patch
 	if err := json.Unmarshal(api.body, &patch); err != nil {
@@ -185,23 +189,24 @@
 		t.Run(name, func(t *testing.T) {
 			api := &fakeAPI{status: 200, response: `{"outcome":"accepted","version":8}`}
 			if code, _, stderr := run(t, api, c.patch, "config", "submit", "-"); code != c.code {
-				t.Fatalf("got code %d: %s", code, stderr)
+				t.Fatalf("got code %d, want that of the case: %s", code, stderr)
 			}
 			var sent operatorclient.Patch
 			if c.code == 0 && (json.Unmarshal(api.body, &sent) != nil || sent.ID == "") {
-				t.Errorf("got patch %s", api.body)
+				t.Errorf("got patch %s, want one with an id", api.body)
 			}
 		})
 	}
 }
 
-// TestHelp guards against a command without help, and against examples whose flags the program does not accept.
+// TestHelp guards against a command without help or examples, and against examples of another command or with flags that
+// the program does not accept.
 func TestHelp(t *testing.T) {
 	for _, c := range commands() {
 		args := append(strings.Fields(c.name), "-h")
 		code, stdout, _ := run(t, &fakeAPI{}, "", args...)
 		if code != 0 || !strings.Contains(stdout, "Exit codes:") || len(c.examples) == 0 {
-			t.Errorf("%s: code %d, output %s", c.name, code, stdout)
+			t.Errorf("help of %s: got code %d, output %s; want code 0, the exit codes and an example", c.name, code, stdout)
 		}
 		for _, example := range c.examples {
 			args := splitWords(example)
@@ -221,7 +226,8 @@
 	}
 }
 
-// splitWords splits a command line into words as a shell does. It understands quotes and drops input redirection.
+// splitWords splits a command line roughly into words as a shell does. Quoted text is one word, but quotes inside quotes
+// split a word. Input redirection is dropped.
 func splitWords(line string) []string {
 	line, _, _ = strings.Cut(line, " < ")
 	var list []string
@@ -247,8 +253,8 @@
 	}
 }
 
-// TestCheckSettings guards against a report that lacks faults of a settings file, an exit code of 0 for a faulty file,
-// and example files that fail the check.
+// TestCheckSettings guards against a report that lacks faults of a settings file (here a wrong type, an unknown key and
+// missing keys), an exit code of 0 for a faulty file, and example files that fail the check.
 func TestCheckSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
 	if err := os.WriteFile(path, []byte("vm = 3\ncolour = 1\n"), 0o600); err != nil {
@@ -257,12 +263,12 @@
 	code, stdout, _ := run(t, &fakeAPI{}, "", "check-settings", "scheduler", path, "-o", "json")
 	var report settingsReport
 	if err := json.Unmarshal([]byte(stdout), &report); code != 2 || err != nil || report.OK || len(report.Faults) < 3 {
-		t.Fatalf("got code %d, error %v, output %s", code, err, stdout)
+		t.Fatalf("got code %d, error %v, output %s; want code 2 and at least three faults", code, err, stdout)
 	}
 	for _, daemon := range []string{"gateway", "scheduler"} {
 		code, stdout, stderr := run(t, &fakeAPI{}, "", "check-settings", daemon, "../../examples/"+daemon+".toml")
 		if code != 0 {
-			t.Errorf("%s: code %d: %s%s", daemon, code, stdout, stderr)
+			t.Errorf("example file of the %s: got code %d, want 0: %s%s", daemon, code, stdout, stderr)
 		}
 	}
 }
@@ -297,7 +303,7 @@
 			code, stdout, _ := run(t, &fakeAPI{}, "", "request", "POST", "s/p", "-key", "k", "-addr",
 				server.Listener.Addr().String())
 			if code != c.code || !strings.Contains(stdout, "outcome: ") && c.outcome != "" {
-				t.Fatalf("got code %d, output %s", code, stdout)
+				t.Fatalf("got code %d, output %s; want the code of the case and the outcome", code, stdout)
 			}
 		})
 	}
--- a/cmd/redwingctl/output.go
+++ b/cmd/redwingctl/output.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// decision writes the decision about a patch.
+// decision writes the decision about a patch, in the output format.
 func (inv *invocation) decision(d operatorclient.Decision) error {
 	return inv.print(d, func() {
 		inv.fields([2]string{"outcome", string(d.Outcome)}, [2]string{"version", fmt.Sprint(d.Version)}, [2]string{"patch", d.ID})
--- a/cmd/redwingctl/request.go
+++ b/cmd/redwingctl/request.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// caller returns a client of the caller API.
-func (inv *invocation) caller() (*operatorclient.CallerClient, error) {
+// callerClient returns a client of the caller API at the address of the flag -addr.
+func (inv *invocation) callerClient() (*operatorclient.CallerClient, error) {
 	token, err := inv.token()
 	if err != nil {
 		return nil, err
@@ -46,11 +46,11 @@
 			return err
 		}
 		r.Method, r.Target, r.Body = inv.args[0], inv.args[1], []byte(*data)
-		caller, err := inv.caller()
+		callerClient, err := inv.callerClient()
 		if err != nil {
 			return err
 		}
-		response, err := caller.Send(inv.ctx, r)
+		response, err := callerClient.Send(inv.ctx, r)
 		if printErr := inv.print(response, func() { inv.response(response) }); printErr != nil {
 			return printErr
 		}
@@ -73,11 +73,11 @@
 		if err := inv.checkArgs(); err != nil {
 			return err
 		}
-		caller, err := inv.caller()
+		callerClient, err := inv.callerClient()
 		if err != nil {
 			return err
 		}
-		key, err := caller.NewKey(inv.ctx)
+		key, err := callerClient.NewKey(inv.ctx)
 		if err != nil {
 			return err
 		}
