--- a/standin/control.go
+++ b/standin/control.go
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// Runs returns the run counters of all endpoints and workers, sorted by id.
+// Runs returns the run counters of all endpoints and workers, sorted by the id of the endpoint or worker.
 func (s *Set) Runs() RunsResponse {
 	response := RunsResponse{Requests: []RequestRun{}, Tasks: []TaskRun{}}
 	for _, id := range sortedKeys(s.Endpoints) {
--- a/standin/endpoint.go
+++ b/standin/endpoint.go
@@ -87,21 +87,25 @@
 	options EndpointOptions
 
 	mu sync.Mutex
-	// The fields below are guarded by mu.
-	faults           EndpointFaults
-	incarnation      int
-	inflight         int
-	requests         int
+	// mu guards the fields below.
+	faults EndpointFaults
+	// incarnation is the number of starts, from 1. inflight is the number of requests that occupy a slot, and requests
+	// the number that have occupied one.
+	incarnation int
+	inflight    int
+	requests    int
+	// previousID and previousResponse are those of the last request that ran.
 	previousID       string
 	previousResponse EndpointResponse
-	runs             map[RequestRun]int
-	connections      map[net.Conn]bool
-	stats            EndpointStats
+	// runs counts the runs of each request. Count is 0 in its keys.
+	runs        map[RequestRun]int
+	connections map[net.Conn]bool
+	stats       EndpointStats
 	// leavingSince is when the endpoint began to report that it is leaving; zero if it does not.
 	leavingSince time.Time
 }
 
-// NewEndpoint returns an endpoint without open connections and counters.
+// NewEndpoint returns an endpoint without faults, whose counters are 0.
 func NewEndpoint(options EndpointOptions) *Endpoint {
 	if options.Slots == 0 {
 		options.Slots = 8
@@ -150,16 +154,16 @@
 	return runs
 }
 
-// EndpointStats holds counters of an endpoint, with which trials check that gateways keep the contract.
+// EndpointStats holds counters of an endpoint, with which tests check that gateways respect its limits.
 type EndpointStats struct {
 	Endpoint string `json:"endpoint"`
-	// MaxConnections is the largest number of connections that were open at once, without refused ones.
+	// MaxConnections is the largest number of connections that were open at once, not counting refused ones.
 	MaxConnections int `json:"max_connections"`
 	// RefusedConnections counts the connections above the limit.
 	RefusedConnections int `json:"refused_connections"`
 	// MaxInflight is the largest number of requests that ran at once.
 	MaxInflight int `json:"max_inflight"`
-	// RefusedRequests counts the requests that found no slot.
+	// RefusedRequests counts the requests that were refused because no slot was free.
 	RefusedRequests int `json:"refused_requests"`
 	// LastWorkAfterLeavingMS is the time from the start of leaving to the last request that ran after it, in
 	// milliseconds; 0 if none did.
@@ -194,8 +198,9 @@
 // Handler returns the HTTP handler of the endpoint.
 func (e *Endpoint) Handler() http.Handler { return http.HandlerFunc(e.serve) }
 
-// requestPlan describes how one request is processed. It is decided when the request arrives.
+// requestPlan describes how one request is processed. It is determined when the request arrives.
 type requestPlan struct {
+	// EndpointFaults holds the faults that apply to this request.
 	EndpointFaults
 	refused     bool
 	fail        bool
@@ -236,7 +241,8 @@
 	e.respond(w, p)
 }
 
-// admit occupies a slot, counts the run and assigns faults to the request, or decides to refuse it.
+// admit occupies a slot, counts the run and assigns at most one fault to the request. If no slot is free or the fault
+// Refuse applies, it only sets refused in the plan.
 func (e *Endpoint) admit(r *http.Request, body []byte) requestPlan {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -285,7 +291,7 @@
 	return true
 }
 
-// countRun counts a run of the request and returns its new count. The caller holds mu.
+// countRun counts a run of the request and returns its new count. mu must be held.
 func (e *Endpoint) countRun(r *http.Request) int {
 	key := r.Header.Get(headerIdempotencyKey)
 	if key == "" {
--- a/standin/gate.go
+++ b/standin/gate.go
@@ -16,7 +16,7 @@
 	service http.Handler
 
 	mu sync.Mutex
-	// faults is guarded by mu.
+	// mu guards faults.
 	faults GateFaults
 }
 
--- a/standin/http.go
+++ b/standin/http.go
@@ -9,7 +9,7 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// maxRequestBytes bounds the request bodies that stand-ins read.
+// maxRequestBytes limits how much of a request body a stand-in reads.
 const maxRequestBytes = 16 << 20
 
 // writeJSON writes a response with the status and v as its JSON body.
@@ -66,7 +66,8 @@
 	DelayMS int64 `json:"delay_ms,omitempty"`
 }
 
-// apply applies the faults to a request. It reports whether the handler must go on to process the request.
+// apply applies the faults to a request. It reports whether the handler must process the request: false means that the
+// response was written or the client disconnected. A silent fault never returns; it aborts the handler.
 func (f connectionFaults) apply(w http.ResponseWriter, r *http.Request) bool {
 	if f.Silent {
 		<-r.Context().Done()
--- a/standin/log.go
+++ b/standin/log.go
@@ -31,7 +31,7 @@
 	LoseResponses int `json:"lose_responses,omitempty"`
 }
 
-// Limits of single requests and of long polls.
+// Limits of single requests: the size of one appended record, the records in one read, and the time of a long poll.
 const (
 	maxRecordBytes = 1 << 20
 	maxReadRecords = 1000
@@ -46,12 +46,12 @@
 	limiter *rate.Limiter
 
 	mu sync.Mutex
-	// streams and faults are guarded by mu.
+	// mu guards streams, by name, and faults.
 	streams map[string]*stream
 	faults  LogFaults
 }
 
-// stream holds the retained records of one stream.
+// stream holds the retained records of one stream. oldest is the offset of the first of them.
 type stream struct {
 	oldest  uint64
 	records []storedRecord
@@ -127,7 +127,7 @@
 	return response
 }
 
-// read is Read without locking. It also returns a channel that is closed at the next append. The caller holds mu.
+// read is Read without locking. It also returns a channel that is closed at the next append. mu must be held.
 func (l *Log) read(name string, from uint64, limit int, now time.Time) (infra.ReadResponse, <-chan struct{}) {
 	s := l.stream(name)
 	l.expire(s, now)
@@ -139,7 +139,7 @@
 	return response, s.changed
 }
 
-// stream returns the stream called name and creates it if it does not exist. The caller holds mu.
+// stream returns the stream called name and creates it if it does not exist. mu must be held.
 func (l *Log) stream(name string) *stream {
 	s, ok := l.streams[name]
 	if !ok {
@@ -151,7 +151,7 @@
 
 func (s *stream) nextOffset() uint64 { return s.oldest + uint64(len(s.records)) }
 
-// expire removes the records that exceed the retention limits. The caller holds mu.
+// expire removes the records that exceed the retention limits. mu must be held.
 func (l *Log) expire(s *stream, now time.Time) {
 	drop := 0
 	if l.options.RetentionRecords > 0 {
@@ -248,6 +248,8 @@
 	return l.faults
 }
 
+// consumeLostResponse reports whether the response to the current append must be lost. If so, it decrements the number of
+// responses to lose.
 func (l *Log) consumeLostResponse() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/services_test.go
+++ b/standin/services_test.go
@@ -106,10 +106,10 @@
 	var first infra.AppendResponse
 	records := infra.AppendRequest{Records: [][]byte{[]byte("a"), []byte("b")}}
 	if status, err := sendJSON(t, "POST", url, records, &first); status != 200 || err != nil || first.FirstOffset != 0 {
-		t.Fatalf("got status %d, error %v, %+v", status, err, first)
+		t.Fatalf("append: got status %d, error %v, %+v; want 200 and offset 0", status, err, first)
 	}
 	if err := <-pollDone; err != nil || len(polled.Records) != 2 || string(polled.Records[1].Data) != "b" {
-		t.Fatalf("long poll: error %v, %+v", err, polled)
+		t.Fatalf("long poll: got error %v, %+v; want the two appended records", err, polled)
 	}
 	set.Log.SetFaults(LogFaults{LoseResponses: 1})
 	if status, err := sendJSON(t, "POST", url, records, &first); err == nil {
@@ -120,12 +120,12 @@
 		t.Fatal(err)
 	}
 	if read.Oldest != 1 || read.Next != 4 || len(read.Records) != 2 || read.Records[0].Offset != 1 {
-		t.Fatalf("after retention: %+v", read)
+		t.Fatalf("read after the retention by count: got %+v, want two records from offset 1 and next offset 4", read)
 	}
 	set.Log.SetFaults(LogFaults{connectionFaults: connectionFaults{Down: true}})
 	var failure errkind.Error
 	if status, _ := sendJSON(t, "GET", url, nil, &failure); status != 503 || failure.Kind != errkind.Unavailable {
-		t.Fatalf("outage: status %d, %+v", status, failure)
+		t.Fatalf("read during the outage: got status %d, %+v; want 503 and unavailable", status, failure)
 	}
 }
 
@@ -141,7 +141,7 @@
 		var read any
 		status, err := sendJSON(t, "GET", "http://"+set.Address(name)+"/v1/streams/config/records", nil, &read)
 		if status != want || err != nil {
-			t.Errorf("%s: got status %d, error %v", name, status, err)
+			t.Errorf("%s: got wrong status %d, error %v", name, status, err)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 	}
 	read := l.Read("config", 0, 10, now.Add(time.Minute+1))
 	if read.Oldest != 1 || read.Next != 1 || len(read.Records) != 0 {
-		t.Fatalf("got %+v", read)
+		t.Fatalf("read after the retention age: got %+v, want no records and offset 1", read)
 	}
 	if _, err := l.Append("No/Name", [][]byte{nil}, now); !errkind.Is(err, errkind.BadInput) {
 		t.Fatalf("got error %v", err)
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestVMListLagsAndFlaps guards against a list that shows changes too early or never returns to an older state: trials
-// need both to check that membership tolerates them.
+// TestVMListLagsAndFlaps guards against a list that shows changes too early, or that with the fault Flap never returns to
+// an older state. Tests of membership need both.
 func TestVMListLagsAndFlaps(t *testing.T) {
 	vm := infra.VM{ID: "vm-1", State: infra.VMLive}
 	l := NewVMList([]infra.VM{vm}, 10*time.Second)
@@ -175,21 +175,21 @@
 	vm.State = infra.VMLeaving
 	l.Set(vm, now)
 	if got := l.VMs(now.Add(9 * time.Second)); got[0].State != infra.VMLive {
-		t.Fatalf("before the lag: %+v", got)
+		t.Fatalf("before the lag: got %+v, want live", got)
 	}
 	late := now.Add(10 * time.Second)
 	if got := l.VMs(late); got[0].State != infra.VMLeaving {
-		t.Fatalf("after the lag: %+v", got)
+		t.Fatalf("after the lag: got %+v, want leaving", got)
 	}
 	l.SetFaults(VMListFaults{Flap: true})
 	first, second := l.VMs(late)[0].State, l.VMs(late)[0].State
 	if first == second {
-		t.Fatalf("no flapping: %s, %s", first, second)
+		t.Fatalf("two reads with the fault Flap: got %s and %s, want different states", first, second)
 	}
 	l.Remove("vm-1", now)
 	l.SetFaults(VMListFaults{})
 	if got := l.VMs(late); len(got) != 0 {
-		t.Fatalf("after the removal: %+v", got)
+		t.Fatalf("after the removal: got %+v, want an empty list", got)
 	}
 }
 
@@ -233,12 +233,12 @@
 	}
 	runs := set.Runs().Requests
 	if len(runs) != 1 || runs[0].Count != 2 || runs[0].Path != "/a?x=1" || runs[0].Key != "r-1" {
-		t.Fatalf("got runs %+v", runs)
+		t.Fatalf("got runs %+v, want two of request r-1", runs)
 	}
 }
 
 // TestEndpointRefusesRequestsAboveSlots guards against a ninth concurrent request that runs on 8 slots, and against a
-// refused request that is counted as a run.
+// refused request that is counted as a run or not counted as refused.
 func TestEndpointRefusesRequestsAboveSlots(t *testing.T) {
 	set := startSet(t)
 	var group sync.WaitGroup
@@ -275,7 +275,7 @@
 		}
 	}
 	if open != 64 || set.Endpoints["e-1"].Stats().RefusedConnections != 6 {
-		t.Fatalf("%d connections were served, want 64 and 6 refused", open)
+		t.Fatalf("%d connections were served, want 64 of 70 and 6 counted as refused", open)
 	}
 }
 
@@ -329,7 +329,7 @@
 	unknown := FaultsRequest{Target: "e-9", Endpoint: &EndpointFaults{}}
 	status, err := sendJSON(t, "POST", "http://"+set.Address("control")+"/v1/faults", unknown, &failure)
 	if status != 400 || err != nil {
-		t.Errorf("unknown target: status %d, error %v", status, err)
+		t.Errorf("unknown target: got status %d, error %v; want 400", status, err)
 	}
 }
 
@@ -347,11 +347,11 @@
 	}
 	var inventory infra.Inventory
 	if _, err := sendJSON(t, "GET", url+"/v1/inventory", nil, &inventory); err != nil || len(inventory.Tasks) != 1 {
-		t.Fatalf("got error %v, inventory %+v", err, inventory)
+		t.Fatalf("got error %v, inventory %+v; want the reserved task", err, inventory)
 	}
 	var list infra.VMListResponse
 	if _, err := sendJSON(t, "GET", "http://"+set.Address("vm_list")+"/v1/vms", nil, &list); err != nil ||
 		len(list.VMs) != 4 {
-		t.Fatalf("got error %v, list %+v", err, list)
+		t.Fatalf("got error %v, list %+v; want 4 VMs", err, list)
 	}
 }
--- a/standin/set.go
+++ b/standin/set.go
@@ -13,7 +13,7 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// Set is a running set of stand-ins.
+// Set is a running set of stand-ins. Log and VMList are nil if they do not run. The maps hold the others by id.
 type Set struct {
 	Log       *Log
 	VMList    *VMList
@@ -26,7 +26,7 @@
 	addresses map[string]string
 }
 
-// readHeaderTimeout bounds the time for reading the headers of a request.
+// readHeaderTimeout limits the time for reading the headers of a request.
 const readHeaderTimeout = 10 * time.Second
 
 // Start starts the stand-ins that s describes. Close stops them. The error is of kind errkind.BadInput for inconsistent
@@ -140,7 +140,7 @@
 // Len returns the number of running servers, including the control service.
 func (s *Set) Len() int { return len(s.servers) }
 
-// Close shuts all servers down. Requests in progress are aborted when ctx ends.
+// Close shuts all servers down. It aborts requests that are still in progress when ctx ends.
 func (s *Set) Close(ctx context.Context) {
 	for _, server := range s.servers {
 		if ctx.Err() != nil || server.Shutdown(ctx) != nil {
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -30,14 +30,14 @@
 }
 
 // VMListSettings holds the settings of the VM list. The list does not run if Address is empty. It contains VMs and all
-// configured workers and endpoints.
+// configured workers and endpoints. LagMS is the time after which changes become visible, in milliseconds.
 type VMListSettings struct {
 	Address string       `toml:"address"`
 	LagMS   int64        `toml:"lag_ms"`
 	VMs     []VMSettings `toml:"vms"`
 }
 
-// VMSettings holds the settings of an entry VM in the VM list.
+// VMSettings holds the settings of an entry VM in the VM list. An entry VM runs a gateway and a scheduler.
 type VMSettings struct {
 	ID            string `toml:"id"`
 	FailureDomain string `toml:"failure_domain"`
@@ -51,8 +51,9 @@
 	Address string `toml:"address"`
 }
 
-// WorkerSettings holds the settings of one worker, or of Count identical workers: their ids get the suffixes -1, -2 and
-// so on, and their ports are consecutive, starting with the port of Address.
+// WorkerSettings holds the settings of one worker if Count is 0, otherwise of Count identical workers: their ids get the
+// suffixes -1, -2 and so on, and their ports are consecutive, starting with the port of Address. If that port is 0, the
+// kernel chooses each of them.
 type WorkerSettings struct {
 	ID            string `toml:"id"`
 	Count         int    `toml:"count"`
@@ -65,7 +66,7 @@
 	CheckpointMS  int64  `toml:"checkpoint_ms"`
 }
 
-// EndpointSettings holds the settings of one endpoint, or of Count identical endpoints; see WorkerSettings.
+// EndpointSettings holds the settings of one endpoint or of Count identical endpoints, as in WorkerSettings.
 type EndpointSettings struct {
 	ID             string `toml:"id"`
 	Count          int    `toml:"count"`
--- a/standin/task.go
+++ b/standin/task.go
@@ -34,7 +34,7 @@
 type taskProgram struct {
 	// work is the run time of the task at full speed; negative for a task that never ends.
 	work time.Duration
-	// failure is the detail with which the task fails once its work is done; empty for success.
+	// failure is the detail with which the task fails when its work is done; empty for success.
 	failure string
 }
 
@@ -81,7 +81,7 @@
 	return job + "/" + checkpointPrefix + strconv.FormatInt(progress.Milliseconds(), 10)
 }
 
-// checkpointProgress returns the progress that a checkpoint's name contains, 0 for a name of another form.
+// checkpointProgress returns the progress in the name of a checkpoint, 0 for a name of another form.
 func checkpointProgress(name string) time.Duration {
 	_, number, _ := strings.Cut(name, checkpointPrefix)
 	ms, err := strconv.ParseInt(number, 10, 64)
@@ -147,7 +147,7 @@
 	}
 }
 
-// completeCheckpoint records the checkpoint and resumes or stops the task.
+// completeCheckpoint records the checkpoint and resumes the task, or stops it if stopAfterCheckpoint is set.
 func (t *task) completeCheckpoint() {
 	t.Checkpoint = checkpointName(t.Attempt.Job, t.progress)
 	t.State = infra.TaskRunning
--- a/standin/vmlist.go
+++ b/standin/vmlist.go
@@ -26,7 +26,7 @@
 	lag time.Duration
 
 	mu sync.Mutex
-	// states holds the list after each change, oldest first; guarded by mu like the fields below.
+	// mu guards the fields below. states holds the list after each change, oldest first. reads counts the reads.
 	states []vmListState
 	faults VMListFaults
 	reads  uint64
@@ -76,7 +76,8 @@
 	l.states = append(l.states, next)
 }
 
-// VMs returns the list that is visible at time now, sorted by id.
+// VMs returns the list that is visible at time now, or the state before it if the fault Flap applies to this read. The
+// list is sorted by id.
 func (l *VMList) VMs(now time.Time) []infra.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -11,7 +11,7 @@
 // Worker is a stand-in for a worker: a VM that runs tasks under leases.
 type Worker struct {
 	mu sync.Mutex
-	// state is guarded by mu.
+	// mu guards state.
 	state *workerState
 }
 
@@ -29,8 +29,8 @@
 	w.state.setFaults(f, now)
 }
 
-// Commands applies a request of POST /v1/commands at time now. A malformed request is rejected as a whole
-// with an error of kind errkind.BadInput.
+// Commands applies a request of POST /v1/commands at time now. A malformed request is rejected with an error of kind
+// errkind.BadInput and changes nothing.
 func (w *Worker) Commands(request infra.CommandsRequest, now time.Time) (infra.CommandsResponse, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,6 +91,8 @@
 	return w.state.faults
 }
 
+// consumeLostResponse reports whether the response to the current commands request must be lost. If so, it decrements the
+// number of responses to lose.
 func (w *Worker) consumeLostResponse() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -9,7 +9,8 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// workerHarness drives a workerState with a simulated clock and one holder.
+// workerHarness drives a workerState with a simulated clock. It sends commands as one holder at a time, with the epoch and
+// the attempts to renew that are set in it.
 type workerHarness struct {
 	t      *testing.T
 	state  *workerState
@@ -47,7 +48,7 @@
 	h.t.Helper()
 	response := h.send(c)
 	if !response.Granted || response.Results[0].OK != want {
-		h.t.Fatalf("%s: got %+v", c.Op, response)
+		h.t.Fatalf("%s: got %+v, want the lease granted and the wanted OK in the result", c.Op, response)
 	}
 }
 
@@ -69,6 +70,8 @@
 
 var attempt = infra.AttemptID{Job: "job-1", Attempt: 1}
 
+// newCommand returns a command for attempt that needs all accelerators of the worker. A reservation expires after 5 s.
+// run is the command line; its elements are joined by spaces.
 func newCommand(op infra.Op, run ...string) infra.Command {
 	return infra.Command{
 		Op: op, Attempt: attempt, Resources: resource.Resources{Accelerators: 8}, TTLMS: 5_000, Run: run,
@@ -90,22 +93,22 @@
 	h.wantOK(true, newCommand(infra.OpReserve))
 	h.holder, h.epoch = "s-2", 2
 	if r := h.send(newCommand(infra.OpStop)); r.Granted || r.Holder != "s-1" || r.ExpiresInMS != 6_000 {
-		t.Fatalf("second holder while the lease is in force: %+v", r)
+		t.Fatalf("second holder while the lease is in force: got %+v, want not granted and 6 s left for s-1", r)
 	}
 	h.wantState(infra.TaskReserved)
 	h.advanceClock(6 * time.Second)
 	h.epoch = 1
 	if r := h.send(); r.Granted {
-		t.Fatalf("second holder with the first one's epoch: %+v", r)
+		t.Fatalf("second holder with the first one's epoch: got %+v, want not granted", r)
 	}
 	h.epoch = 2
 	if r := h.send(); !r.Granted || r.Epoch != 2 {
-		t.Fatalf("second holder after the lease expired: %+v", r)
+		t.Fatalf("second holder after the lease expired: got %+v, want granted with epoch 2", r)
 	}
 	h.advanceClock(time.Hour)
 	h.holder, h.epoch = "s-1", 1
 	if r := h.send(newCommand(infra.OpReserve)); r.Granted || r.Epoch != 2 || len(r.Results) != 0 {
-		t.Fatalf("first holder after the second: %+v", r)
+		t.Fatalf("first holder after the second: got %+v, want not granted, epoch 2 and no results", r)
 	}
 }
 
@@ -116,41 +119,42 @@
 	h.send()
 	h.advanceClock(time.Minute)
 	if r := h.send(); !r.Granted || r.ExpiresInMS != 6_000 {
-		t.Fatalf("got %+v", r)
+		t.Fatalf("renewal of the expired lease: got %+v, want granted for 6 s", r)
 	}
 }
 
-// TestTaskLifecycle guards against commands that are accepted in the wrong task state, and against resources that a
-// task does not occupy from its reservation to its end.
+// TestTaskLifecycle guards against commands that are accepted in the wrong task state, against a task whose resources are
+// free before it ends, against a held task that runs before its release, and against a repeated command that runs the
+// task again.
 func TestTaskLifecycle(t *testing.T) {
 	h := newWorkerHarness(t)
-	h.wantOK(false, newCommand(infra.OpStart, "sleep 2"))
+	h.wantOK(false, newCommand(infra.OpStart, "sleep 2")) // start before the reservation
 	h.wantOK(true, newCommand(infra.OpReserve))
-	h.wantOK(false, newCommand(infra.OpRelease))
+	h.wantOK(false, newCommand(infra.OpRelease)) // release before the start
 	other := newCommand(infra.OpReserve)
 	other.Attempt.Job = "job-2"
-	h.wantOK(false, other)
-	h.wantOK(true, newCommand(infra.OpStart, "sleep", "2"))
+	h.wantOK(false, other) // the first task occupies all accelerators
 	h.wantOK(true, newCommand(infra.OpStart, "sleep", "2"))
+	h.wantOK(true, newCommand(infra.OpStart, "sleep", "2")) // repeated start
 	h.advanceClock(10 * time.Second)
 	h.wantState(infra.TaskHeld)
 	h.wantOK(true, newCommand(infra.OpRelease))
-	h.wantOK(true, newCommand(infra.OpRelease))
-	h.wantOK(false, newCommand(infra.OpForget))
+	h.wantOK(true, newCommand(infra.OpRelease)) // repeated release
+	h.wantOK(false, newCommand(infra.OpForget)) // the task has not ended
 	h.advanceClock(1999 * time.Millisecond)
 	h.wantState(infra.TaskRunning)
 	h.advanceClock(time.Millisecond)
 	h.wantState(infra.TaskDone)
 	h.wantOK(true, other)
-	h.wantOK(false, newCommand(infra.OpReserve))
+	h.wantOK(false, newCommand(infra.OpReserve)) // the attempt has ended
 	h.wantOK(true, newCommand(infra.OpForget))
 	if runs := h.state.taskRuns(); len(runs) != 1 || runs[0].Count != 1 {
-		t.Fatalf("got runs %+v", runs)
+		t.Fatalf("got runs %+v, want one", runs)
 	}
 }
 
-// TestReservationAndTaskLeaseExpire guards against a reservation that does not expire and a task that outlives its
-// lease.
+// TestReservationAndTaskLeaseExpire guards against a reservation that does not expire, a task that ends although its lease
+// is renewed, a task that outlives its lease, and a renewal that revives a lapsed task.
 func TestReservationAndTaskLeaseExpire(t *testing.T) {
 	h := newWorkerHarness(t)
 	h.wantOK(true, newCommand(infra.OpReserve))
@@ -163,11 +167,11 @@
 		h.send()
 	}
 	h.wantState(infra.TaskRunning)
-	h.advanceClock(30*time.Second - 1)
+	h.advanceClock(30*time.Second - 1) // 1 ns before the lease expires
 	h.wantState(infra.TaskRunning)
 	h.advanceClock(1)
 	h.wantState(infra.TaskLapsed)
-	h.send()
+	h.send() // renews the lease of the lapsed task
 	h.wantState(infra.TaskLapsed)
 }
 
@@ -181,7 +185,7 @@
 }
 
 // TestCheckpointKeepsThrottledProgress guards against a checkpoint with less or more progress than the throttled task
-// made.
+// made, and against a task that does not resume from it.
 func TestCheckpointKeepsThrottledProgress(t *testing.T) {
 	h := newWorkerHarness(t)
 	h.run("sleep 10")
@@ -221,8 +225,7 @@
 	}
 }
 
-// TestWorkerFaults guards against injected faults and failing command lines, which trials rely on, that do not lead to
-// the specified task state.
+// TestWorkerFaults guards against an injected fault or a command line that gives another task state than specified.
 func TestWorkerFaults(t *testing.T) {
 	cases := map[string]struct {
 		faults    WorkerFaults
@@ -263,7 +266,7 @@
 	h.state.setFaults(WorkerFaults{Restart: true, Leaving: true}, h.now)
 	after := h.state.inventory()
 	if len(after.Tasks) != 0 || after.Incarnation == before.Incarnation || after.Revision <= before.Revision {
-		t.Fatalf("after the restart: %+v", after)
+		t.Fatalf("after the restart: got %+v, want no tasks, another incarnation and a higher revision", after)
 	}
 	h.wantOK(false, newCommand(infra.OpReserve))
 }
@@ -276,12 +279,12 @@
 	h.wantOK(true, newCommand(infra.OpStart, "forever"))
 	first := h.send().Inventory
 	if first.Usage.Accelerators != 0 {
-		t.Fatalf("usage without lag: %+v", first.Usage)
+		t.Fatalf("usage before the lag: got %+v, want no accelerators", first.Usage)
 	}
 	h.advanceClock(3 * time.Second)
 	second := h.send().Inventory
 	if second.Usage.Accelerators != 8 || second.Revision == first.Revision {
-		t.Fatalf("got %+v", second)
+		t.Fatalf("usage after the lag: got %+v, want 8 accelerators and a new revision", second)
 	}
 }
 
@@ -297,10 +300,10 @@
 		t.Run(name, func(t *testing.T) {
 			h := newWorkerHarness(t)
 			if _, err := h.state.commands(request, h.now); !errkind.Is(err, errkind.BadInput) {
-				t.Fatalf("got error %v", err)
+				t.Fatalf("got error %v, want bad_input", err)
 			}
 			if h.state.epoch != 0 || h.state.revision != 1 {
-				t.Fatalf("state changed: epoch %d, revision %d", h.state.epoch, h.state.revision)
+				t.Fatalf("a malformed request changed the state: epoch %d, revision %d", h.state.epoch, h.state.revision)
 			}
 		})
 	}
--- a/standin/workercommands.go
+++ b/standin/workercommands.go
@@ -16,8 +16,8 @@
 	reasonEndedTask = "attempt has ended here"
 )
 
-// commands applies a request at now, after advance. A malformed request gives an error of kind BadInput and changes
-// nothing.
+// commands applies a request at now, up to which advance must have been called. A malformed request gives an error of
+// kind BadInput and changes nothing.
 func (s *workerState) commands(request infra.CommandsRequest, now time.Time) (infra.CommandsResponse, error) {
 	if err := checkCommands(request); err != nil {
 		return infra.CommandsResponse{}, err
@@ -72,7 +72,7 @@
 
 // grantLease grants or renews the holder lease and reports whether it did. While a lease is in force, only its holder
 // may send commands. A new holder needs a higher epoch than any granted before, which fences the previous holder. A
-// lease of 0 ms releases the lease at the end of the request.
+// lease of 0 ms ends immediately after the request, so that the holder gives the lease up.
 func (s *workerState) grantLease(request infra.CommandsRequest, now time.Time) bool {
 	sameHolder := request.Holder == s.holder
 	inForce := now.Before(s.leaseUntil)
@@ -100,7 +100,8 @@
 	}
 }
 
-// applyCommand applies one command. The methods that it calls return the reason for a rejection, empty for success.
+// applyCommand applies one command. The functions that it calls for each op return the reason for a rejection, or an
+// empty string for success.
 func (s *workerState) applyCommand(c infra.Command, request infra.CommandsRequest, now time.Time) infra.CommandResult {
 	t := s.findTask(c.Attempt, c.Member)
 	var reason string
--- a/standin/workerstate.go
+++ b/standin/workerstate.go
@@ -30,7 +30,7 @@
 type WorkerOptions struct {
 	ID       string
 	Capacity resource.Resources
-	// UsageLag is the delay with which the inventory reports usage.
+	// UsageLag is the delay with which the inventory reports the resources in use.
 	UsageLag time.Duration
 	// CheckpointTime is the duration of a checkpoint.
 	CheckpointTime time.Duration
@@ -44,11 +44,12 @@
 	Count  int    `json:"count"`
 }
 
-// workerState is the state machine of a worker, without a clock and I/O. The caller passes the current time and calls
-// advance with it before any other method.
+// workerState is the state machine of a worker, without a clock and I/O. Worker passes the current time and calls advance
+// with it before any other method.
 type workerState struct {
-	options     WorkerOptions
-	faults      WorkerFaults
+	options WorkerOptions
+	faults  WorkerFaults
+	// incarnation is the number of starts of the VM, from 1. revision increases with every change of the inventory.
 	incarnation int
 	revision    uint64
 
@@ -60,7 +61,8 @@
 	tasks []*task
 	// usage holds the resources in use after each change, oldest first, back to the sample that UsageLag makes visible.
 	usage []usageSample
-	runs  map[taskRunKey]int
+	// runs counts the releases of each member of a job, over all attempts.
+	runs map[taskRunKey]int
 }
 
 type usageSample struct {
@@ -136,8 +138,8 @@
 	s.usage = append(s.usage, usageSample{at: at, used: s.used()})
 }
 
-// dropOldUsage drops the samples that are older than the one reported at now. The revision is incremented if the
-// reported usage changes.
+// dropOldUsage drops the samples that are older than the one reported at now. It increments the revision if the reported
+// usage changes.
 func (s *workerState) dropOldUsage(now time.Time) {
 	visible := now.Add(-s.options.UsageLag)
 	for len(s.usage) > 1 && !s.usage[1].at.After(visible) {
