--- a/devcerts/devcerts.go
+++ b/devcerts/devcerts.go
@@ -1,5 +1,5 @@
-// Package devcerts creates keys and certificates for trials on one machine. They are not meant for production: the key
-// of the certificate authority is discarded, so no certificate can be added later.
+// Package devcerts creates keys and certificates for tests on one machine. They are not meant for production: the key of
+// the certificate authority is discarded, so no certificate can be added later.
 package devcerts
 
 import (
@@ -21,12 +21,13 @@
 // Lifetime is the time from creation to expiry of the certificates.
 const Lifetime = 30 * 24 * time.Hour
 
-// clockSkew is the tolerated difference between clocks: certificates are valid from this long before their creation.
+// clockSkew is the tolerated difference between clocks: the validity of certificates begins this long before their
+// creation.
 const clockSkew = time.Hour
 
 // Write creates a certificate authority and, for each name, a key and a certificate that is valid for the name and the
 // IP addresses. It writes ca.pem, NAME.pem and NAME.key into dir, which it creates if necessary, and returns the paths
-// of the files. An error is of kind errkind.BadInput if dir is not writable, else errkind.Internal.
+// of the files. An error has kind errkind.BadInput if dir is not writable, otherwise errkind.Internal.
 func Write(dir string, names []string, ips []net.IP, now time.Time) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, errkind.Wrap(err, errkind.BadInput, "use a writable directory", "create directory %s", dir)
@@ -71,7 +72,7 @@
 	return key, errkind.Wrap(err, errkind.Internal, "retry", "generate key")
 }
 
-// newTemplate returns the fields that all certificates have in common.
+// newTemplate returns a certificate template with the fields that all certificates have in common.
 func newTemplate(serial int64, name string, now time.Time) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(serial),
--- a/devcerts/devcerts_test.go
+++ b/devcerts/devcerts_test.go
@@ -24,7 +24,7 @@
 	dir := filepath.Join(t.TempDir(), "keys")
 	files, err := Write(dir, []string{"vm-1", "vm-2"}, []net.IP{net.IPv4(127, 0, 0, 1)}, time.Now())
 	if err != nil || len(files) != 5 {
-		t.Fatalf("got error %v, files %v", err, files)
+		t.Fatalf("got error %v, files %v; want 5 files", err, files)
 	}
 	var stores []*inner.KeyStore
 	for _, name := range []string{"vm-1", "vm-2"} {
@@ -49,6 +49,6 @@
 	defer client.Close()
 	response, err := client.Call(ctx, server.Address(), &inner.Request{Heartbeat: &inner.Heartbeat{}})
 	if err != nil || response.Heartbeat == nil || response.Heartbeat.Member.VM != "vm-2" {
-		t.Fatalf("got error %v, response %+v", err, response)
+		t.Fatalf("got error %v, response %+v; want the sender vm-2", err, response)
 	}
 }
