--- a/processtest/config_test.go
+++ b/processtest/config_test.go
@@ -72,7 +72,7 @@
 	for i := range 3 {
 		decision, err := s.submitHarmlessPatch(s.vms[0], fmt.Sprintf("while-cut-%d", i))
 		if err != nil || decision.Outcome != configlog.Accepted {
-			t.Fatalf("got %+v, error %v", decision, err)
+			t.Fatalf("patch at a VM that reaches the log: got %+v, error %v; want accepted", decision, err)
 		}
 		took := s.waitFor("version on the cut-off VMs", inForceBound, func() error {
 			return s.checkInForceEverywhere(decision.Version)
@@ -103,7 +103,7 @@
 				t.Fatal(err)
 			}
 			if acceptedID, exists := accepted[decision.Version]; exists {
-				t.Fatalf("version %d was made by both %s and %s", decision.Version, acceptedID, id)
+				t.Fatalf("version %d was created by both %s and %s", decision.Version, acceptedID, id)
 			}
 			accepted[decision.Version] = id
 			s.waitFor("version on all VMs", inForceBound, func() error {
--- a/processtest/control_test.go
+++ b/processtest/control_test.go
@@ -65,7 +65,8 @@
 }
 
 // TestTakeoverKeepsGangs guards against a takeover that stops or restarts a running gang after the active scheduler is
-// killed or frozen, and against a resumed scheduler that still acts.
+// killed or frozen, against a takeover that takes longer than takeoverBound, and against a resumed scheduler that still
+// acts.
 func TestTakeoverKeepsGangs(t *testing.T) {
 	s := startSystem(t)
 	s.submitJob("long", "fd-a", 2, false, "sleep", "25")
--- a/processtest/faults_test.go
+++ b/processtest/faults_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// loadEachGateway starts callers that call send for every gateway in a loop until ctx ends. The path contains the
-// gateway, the caller and the sequence number i. The returned group is done when all callers have stopped.
+// loadEachGateway starts callersPerGateway callers for every gateway, which run send in a loop until ctx ends. The path
+// contains the gateway, the caller and the sequence number i. The returned group is done when all callers have stopped.
 func (s *system) loadEachGateway(ctx context.Context, send func(v *vm, path string, i int)) *sync.WaitGroup {
 	var group sync.WaitGroup
 	for _, v := range s.vms {
@@ -58,7 +58,9 @@
 }
 
 // TestLeavingEndpointGetsNoWork guards against a gateway that keeps sending requests to a leaving endpoint, whether the
-// endpoint's responses or the VM list report that it is leaving, even if no other endpoint is available.
+// endpoint's responses or the VM list report that it is leaving, even if no other endpoint is available. It also guards
+// against requests that fail while an endpoint is available, and against a request that ran although its caller got an
+// error other than unknown.
 func TestLeavingEndpointGetsNoWork(t *testing.T) {
 	s := startSystem(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -138,7 +140,7 @@
 	method, path, body string
 	response           operatorclient.ServiceResponse
 	err                error
-	// duplicated is set for a request that was sent through two gateways at once.
+	// duplicated reports whether the test sent the request through two gateways at once.
 	duplicated bool
 }
 
--- a/processtest/outages_test.go
+++ b/processtest/outages_test.go
@@ -163,7 +163,7 @@
 		s.waitFor("running gang", 10*time.Second, func() error { return s.checkJobState(job, jobs.StateRunning) })
 		status, err := s.operator(s.vms[0]).Job(t.Context(), job)
 		if err != nil || len(status.Workers) != 2 {
-			t.Fatalf("got %+v, error %v", status, err)
+			t.Fatalf("got status %+v, error %v; want 2 workers", status, err)
 		}
 		silencedWorkers[job], firstAttempts[job] = status.Workers[1], status.Attempt
 	}
--- a/processtest/requests_test.go
+++ b/processtest/requests_test.go
@@ -155,7 +155,7 @@
 		}
 	}
 	if len(completed) < 100 {
-		t.Errorf("only %d orders completed", len(completed))
+		t.Errorf("only %d orders completed, want 100 or more", len(completed))
 	}
 	for _, line := range s.violations() {
 		t.Error(line)
--- a/processtest/system_test.go
+++ b/processtest/system_test.go
@@ -29,7 +29,7 @@
 const (
 	workersPerDomain   = 4
 	endpointsPerDomain = 2
-	// balancerReactionTime is how long the load balancer of the tests may take to notice an unready gateway.
+	// balancerReactionTime is the longest time in which the load balancer of the tests notices an unready gateway.
 	balancerReactionTime = 500 * time.Millisecond
 	requestTimeout       = 12 * time.Second
 	// operatorToken and accountToken are the credentials that the tests use.
@@ -62,7 +62,7 @@
 	}))
 }
 
-// vm is an entry VM with its addresses, daemons and settings files.
+// vm is an entry VM, which runs a gateway and a scheduler, with its addresses, daemons and settings files.
 type vm struct {
 	name, domain                       string
 	inner, metrics, callers, operators string
@@ -339,10 +339,12 @@
 	return found
 }
 
+// operator returns a client of the operator API of v with the operator token.
 func (s *system) operator(v *vm) *operatorclient.Client {
 	return operatorclient.New(v.operators, operatorToken, requestTimeout)
 }
 
+// caller returns a client of the caller API of v with the account token.
 func (s *system) caller(v *vm) *operatorclient.CallerClient {
 	return operatorclient.NewCallerClient(v.callers, accountToken, requestTimeout)
 }
