--- a/configlog/catchup.go
+++ b/configlog/catchup.go
@@ -30,7 +30,8 @@
 }
 
 // findInitialState sets the first state from the log or from a peer. A complete log suffices. If the log is empty or
-// truncated, it queries the peers before it concludes that there is no configuration.
+// truncated, it queries the peers before it concludes that there is no configuration. It returns an error if no state
+// could be set yet.
 func (f *Follower) findInitialState(ctx context.Context, resp infra.ReadResponse) error {
 	if resp.Oldest == 0 && resp.Next > 0 {
 		f.setInitialState(NewState(), resp.Next)
@@ -49,7 +50,7 @@
 		}
 		return err
 	}
-	if f.gapAge() < f.settings.GapGrace || !f.confirmNoPeerHasConfig(ctx) {
+	if f.gapAge() < f.options.GapGrace || !f.confirmNoPeerHasConfig(ctx) {
 		return errkind.New(errkind.Unavailable, "wait for a peer that has the configuration",
 			"log starts at offset %d and contains no snapshot", resp.Oldest)
 	}
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// setInitialState sets the first state, unless the state of a peer has been adopted in the meantime. tail is the end of
-// the log.
+// setInitialState sets the first state, unless the state of a peer has been adopted in the meantime. tail becomes
+// startTail: the next offset of the log if records before it must still be folded, otherwise 0.
 func (f *Follower) setInitialState(state *State, tail uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,7 +70,7 @@
 		return
 	}
 	f.state = state
-	f.startTail, f.startedAt = tail, time.Now()
+	f.startTail, f.initialStateAt = tail, time.Now()
 	f.gapSince = time.Time{}
 	f.notifyWaiters()
 	f.publish()
@@ -81,7 +82,7 @@
 	var found *State
 	from := oldest
 	for {
-		resp, err := f.read(ctx, from, 0, 2*f.settings.ReadMargin)
+		resp, err := f.read(ctx, from, 0, 2*f.options.ReadMargin)
 		if err != nil {
 			return nil, err
 		}
@@ -98,8 +99,9 @@
 	}
 }
 
-// closeGap continues after the next records have expired unread. It uses the records or the state of a peer, otherwise
-// a snapshot in the log, otherwise, after GapGrace, the current state.
+// closeGap continues the fold after the next records have expired unread. It uses the records or the state of a peer,
+// otherwise a snapshot in the log. If there is none, it continues with the current state once canSkipGap allows it, and
+// returns an error until then.
 func (f *Follower) closeGap(ctx context.Context, oldest uint64) error {
 	f.fetchRecordsFromPeers(ctx)
 	if f.nextOffset() >= oldest || f.fetchStateFromPeers(ctx) {
@@ -121,7 +123,7 @@
 	if f.state.Next >= oldest {
 		return nil
 	}
-	f.settings.Logger.Error().Uint64("from", f.state.Next).Uint64("to", oldest).Msg("configuration records expired unread")
+	f.options.Logger.Error().Uint64("from", f.state.Next).Uint64("to", oldest).Msg("configuration records expired unread")
 	f.state.SkipTo(oldest)
 	metricSkipped.Inc(1)
 	f.recordCache.clear()
@@ -135,13 +137,14 @@
 // this process waits much longer (IsolatedGapGrace) for a snapshot of such a process.
 func (f *Follower) canSkipGap(ctx context.Context) bool {
 	missing := f.gapAge()
-	if missing < f.settings.GapGrace {
+	if missing < f.options.GapGrace {
 		return false
 	}
-	return missing >= f.settings.IsolatedGapGrace || f.confirmNoPeerAhead(ctx)
+	return missing >= f.options.IsolatedGapGrace || f.confirmNoPeerAhead(ctx)
 }
 
-// gapAge returns how long the next records have been missing from the log. The first call starts the measurement.
+// gapAge returns how long the next records have been missing from the log. Its first call after the records were found
+// missing starts the measurement.
 func (f *Follower) gapAge() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,7 +156,7 @@
 
 // confirmNoPeerAhead queries each peer and reports whether all responded that they hold no records after this state.
 func (f *Follower) confirmNoPeerAhead(ctx context.Context) bool {
-	peers := f.settings.Peers()
+	peers := f.options.Peers()
 	next := f.nextOffset()
 	return f.queryPeers(ctx, peers, func(ctx context.Context, p Peer) bool {
 		resp, err := p.FetchRecords(ctx, inner.FetchRecords{From: next, Limit: 1})
@@ -161,10 +164,10 @@
 	}) == len(peers)
 }
 
-// syncWithPeers queries peers while the log does not respond, while there is no configuration, and after a heartbeat
-// that reports a higher offset.
+// syncWithPeers runs until ctx ends. It queries peers while the log does not respond, while there is no configuration,
+// and after a heartbeat that reports a higher offset.
 func (f *Follower) syncWithPeers(ctx context.Context) {
-	ticker := time.NewTicker(f.settings.PeerPeriod)
+	ticker := time.NewTicker(f.options.PeerPeriod)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -175,12 +178,12 @@
 		if !f.needsPeerSync() {
 			continue
 		}
-		if f.started() && f.Document() != nil {
+		if f.hasState() && f.Document() != nil {
 			f.fetchRecordsFromPeers(ctx)
 		} else {
 			f.fetchStateFromPeers(ctx)
 		}
-		boottime.Sleep(ctx, f.settings.PeerPeriod/2)
+		boottime.Sleep(ctx, f.options.PeerPeriod/2)
 	}
 }
 
@@ -190,7 +193,7 @@
 	if f.state == nil || f.state.Doc == nil || f.peerOffset > f.state.Next {
 		return true
 	}
-	return f.logError != nil || time.Since(f.lastRead) > f.settings.PollWait+f.settings.PeerPeriod
+	return f.logError != nil || time.Since(f.lastRead) > f.options.PollWait+f.options.PeerPeriod
 }
 
 // requestPeerSync makes syncWithPeers run its next round without waiting for the ticker.
@@ -215,20 +218,20 @@
 
 // randomPeers returns up to peersPerRound randomly chosen peers.
 func (f *Follower) randomPeers() []Peer {
-	peers := append([]Peer(nil), f.settings.Peers()...)
+	peers := append([]Peer(nil), f.options.Peers()...)
 	f.random.mu.Lock()
 	defer f.random.mu.Unlock()
 	f.random.rng.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	return peers[:min(len(peers), peersPerRound)]
 }
 
-// queryPeers calls query for all peers concurrently, each with its own timeout, and returns how many calls returned
+// queryPeers runs query for all peers concurrently, each with its own timeout, and returns how many queries returned
 // true.
 func (f *Follower) queryPeers(ctx context.Context, peers []Peer, query func(context.Context, Peer) bool) int {
 	results := make(chan bool, len(peers))
 	for _, p := range peers {
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, f.settings.RequestTimeout)
+			ctx, cancel := context.WithTimeout(ctx, f.options.RequestTimeout)
 			defer cancel()
 			results <- query(ctx, p)
 		}()
@@ -242,8 +245,9 @@
 	return count
 }
 
-// fetchRecordsFromPeers folds the records after the state that peers hold, or adopts the state of a peer that no longer
-// holds them. If all queried peers respond and none has more, it clears peerOffset; the next heartbeat sets it again.
+// fetchRecordsFromPeers queries random peers for the records that follow the state and folds them. It adopts the state
+// of a peer that no longer has these records cached. If all queried peers respond and none has more, it clears peerOffset;
+// the next heartbeat sets it again.
 func (f *Follower) fetchRecordsFromPeers(ctx context.Context) {
 	peers := f.randomPeers()
 	before := f.nextOffset()
@@ -279,7 +283,7 @@
 	}
 	state, err := DecodeState(resp.State)
 	if err != nil {
-		f.settings.Logger.Warn().Err(err).Str("peer", p.ID()).Msg("cannot use configuration state of peer")
+		f.options.Logger.Warn().Err(err).Str("peer", p.ID()).Msg("cannot use configuration state of peer")
 		return false
 	}
 	if !f.replaceState(state) {
@@ -291,15 +295,16 @@
 
 // confirmNoPeerHasConfig queries each peer and reports whether all responded that they have no configuration.
 func (f *Follower) confirmNoPeerHasConfig(ctx context.Context) bool {
-	peers := f.settings.Peers()
+	peers := f.options.Peers()
 	return f.queryPeers(ctx, peers, func(ctx context.Context, p Peer) bool {
 		resp, err := p.FetchState(ctx)
 		return err == nil && len(resp.State) == 0
 	}) == len(peers)
 }
 
-// FetchRecords returns cached records for a peer, starting at req.From. If the cache does not reach back that far, the
-// response has no records and its Oldest is above req.From.
+// FetchRecords returns up to req.Limit cached records for a peer, starting at offset req.From. If the cache does not
+// reach back that far, the response has no records and its Oldest is above req.From. The response is empty if there is
+// no state yet.
 func (f *Follower) FetchRecords(req inner.FetchRecords) inner.FetchRecordsResponse {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -310,13 +315,14 @@
 	return f.recordCache.fetch(req.From, f.state.Next, limit)
 }
 
-// FetchState returns the encoded state for a peer. It is empty if there is no configuration.
+// FetchState returns the encoded state for a peer. It is empty if there is no configuration. An error has the kind
+// Internal.
 func (f *Follower) FetchState() (inner.FetchStateResponse, error) {
 	raw, err := EncodeState(f.State())
 	return inner.FetchStateResponse{State: raw}, err
 }
 
-// recordCache holds the newest records for peers. Their offsets are contiguous.
+// recordCache holds the newest folded records for peers. Their offsets are contiguous. bytes is the size of their data.
 type recordCache struct {
 	records []infra.Record
 	bytes   int
--- a/operatorapi/config.go
+++ b/operatorapi/config.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	if doc := a.settings.Configuration.Document(); doc != nil {
+	if doc := a.options.Configuration.Document(); doc != nil {
 		return 0, nil, errkind.New(errkind.Conflict, "submit a patch instead",
 			"the configuration is already initialised; version %d is in force", doc.Version)
 	}
@@ -70,13 +70,14 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	d := a.settings.Configuration.Initialise(ctx, configlog.Initialise{
+	d := a.options.Configuration.Initialise(ctx, configlog.Initialise{
 		ID: "init-" + uuid.NewString(), Author: p.operator, Reason: "initialise", Document: doc,
 	})
 	return decisionResponse(d)
 }
 
-// PlanResult is the response to a plan request: the changes that a patch would make to version Base.
+// PlanResult is the response to a plan request: the changes that a patch would make to version Base. Version is the
+// version that it would create.
 type PlanResult struct {
 	Base    uint64      `json:"base"`
 	Version uint64      `json:"version"`
@@ -90,7 +91,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	before, after, err := a.settings.Configuration.Plan(patch)
+	before, after, err := a.options.Configuration.Plan(patch)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -112,8 +113,8 @@
 	return patch, setAuthor(&patch.Author, p)
 }
 
-// setAuthor sets the author to the operator whose token was sent. Any other name is rejected, so that the authors in the
-// configuration log can be trusted.
+// setAuthor sets an empty author to the operator whose token was sent. It returns an error for the name of anybody else,
+// so that the authors in the configuration log are authenticated.
 func setAuthor(author *string, p principal) error {
 	if *author != "" && *author != p.operator {
 		return errkind.New(errkind.Forbidden, "leave the author out or use that operator's token",
@@ -128,11 +129,11 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	return decisionResponse(a.settings.Configuration.Submit(ctx, patch))
+	return decisionResponse(a.options.Configuration.Submit(ctx, patch))
 }
 
 func (a *API) settle(ctx context.Context, r *http.Request, _ principal) (int, any, error) {
-	return settledResponse(a.settings.Configuration.Settle(ctx, r.PathValue("id")))
+	return settledResponse(a.options.Configuration.Settle(ctx, r.PathValue("id")))
 }
 
 // WithdrawRequest is the body of a withdraw request. An empty author stands for the operator whose token was sent.
@@ -155,7 +156,7 @@
 	if body.Reason == "" || len(body.Reason) > config.MaxTextLength {
 		return 0, nil, errkind.New(errkind.BadInput, "give a reason of 1 to 512 bytes", "reason has %d bytes", len(body.Reason))
 	}
-	return settledResponse(a.settings.Configuration.Withdraw(ctx, r.PathValue("id"), body.Author, body.Reason))
+	return settledResponse(a.options.Configuration.Withdraw(ctx, r.PathValue("id"), body.Author, body.Reason))
 }
 
 // queryVersion parses the version in the query parameter of the given name. It returns fallback if there is none.
@@ -170,7 +171,7 @@
 
 // state returns a copy of the configuration state, or an error if the configuration is not initialised.
 func (a *API) state() (*configlog.State, error) {
-	state := a.settings.Configuration.State()
+	state := a.options.Configuration.State()
 	if state == nil || state.Doc == nil {
 		return nil, errkind.New(errkind.NotFound, "run redwingctl config init", "the configuration is not initialised")
 	}
@@ -204,7 +205,7 @@
 		return 0, nil, err
 	}
 	if from > to {
-		return 0, nil, errkind.New(errkind.BadInput, "use a from that is not above to", "from version %d is above to version %d", from, to)
+		return 0, nil, errkind.New(errkind.BadInput, "give a from version that is not above the to version", "from version %d is above to version %d", from, to)
 	}
 	return http.StatusOK, logEntries(state, from, to), nil
 }
@@ -212,8 +213,8 @@
 // LogEntry is one decision in the configuration log.
 type LogEntry struct {
 	configlog.Decision
-	// Summary has one line for each field that an accepted patch changed. It is empty if the previous version is no longer
-	// kept.
+	// Summary has one line for each field that an accepted patch changed. It is empty for version 0, for a refused patch,
+	// and if the previous version is no longer available.
 	Summary []string `json:"summary,omitempty"`
 }
 
@@ -226,7 +227,7 @@
 		entry := LogEntry{Decision: d}
 		if d.Outcome == configlog.Accepted && d.Version > 0 {
 			if doc == nil || doc.Version != d.Version-1 {
-				doc, _ = state.At(d.Version - 1) // if it is no longer kept, the entry has no summary
+				doc, _ = state.At(d.Version - 1) // without that version the entry has no summary
 			}
 			if doc != nil {
 				entry.Summary = config.Describe(doc, d.Ops)
@@ -253,8 +254,8 @@
 }
 
 func (a *API) status(ctx context.Context, _ *http.Request, _ principal) (int, any, error) {
-	body := StatusResult{Self: a.settings.Configuration.Status(), VMs: []VMVersion{}}
-	for _, vm := range a.settings.Peers.ConfigStatus(ctx) {
+	body := StatusResult{Self: a.options.Configuration.Status(), VMs: []VMVersion{}}
+	for _, vm := range a.options.Peers.ConfigStatus(ctx) {
 		entry := VMVersion{VM: vm.VM, FailureDomain: vm.FailureDomain, Version: outcomeUnknown}
 		if vm.Known {
 			entry.Version = vm.Version
@@ -265,7 +266,8 @@
 	return http.StatusOK, body, nil
 }
 
-// HealthResult is the health of this daemon and of its peers as this daemon observes them.
+// HealthResult is the health of this daemon and of its peers as this daemon observes them. ActiveSchedulers maps failure
+// domains to VMs, see Peers.
 type HealthResult struct {
 	Ready            bool              `json:"ready"`
 	Configuration    configlog.Status  `json:"configuration"`
@@ -275,9 +277,9 @@
 
 func (a *API) health(ctx context.Context, _ *http.Request, _ principal) (int, any, error) {
 	return http.StatusOK, HealthResult{
-		Ready:            a.settings.Ready == nil || a.settings.Ready(),
-		Configuration:    a.settings.Configuration.Status(),
-		Peers:            a.settings.Peers.Health(ctx),
-		ActiveSchedulers: a.settings.Peers.ActiveSchedulers(ctx),
+		Ready:            a.options.Ready == nil || a.options.Ready(),
+		Configuration:    a.options.Configuration.Status(),
+		Peers:            a.options.Peers.Health(ctx),
+		ActiveSchedulers: a.options.Peers.ActiveSchedulers(ctx),
 	}, nil
 }
--- a/operatorapi/jobs.go
+++ b/operatorapi/jobs.go
@@ -11,7 +11,8 @@
 	"github.com/redwingthread/redwingthread/jobs"
 )
 
-// JobResult is the response to a submission or cancellation.
+// JobResult is the response to a submission or cancellation. Outcome is always "completed", also for a repeated
+// submission.
 type JobResult struct {
 	Outcome string      `json:"outcome"`
 	Job     jobs.Status `json:"job"`
@@ -32,7 +33,7 @@
 	if err := a.validateJob(&job); err != nil {
 		return 0, nil, err
 	}
-	status, err := a.settings.Jobs.Submit(ctx, job)
+	status, err := a.options.Jobs.Submit(ctx, job)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -46,10 +47,10 @@
 // maxCommandBytes limits the total length of the arguments of a job's command.
 const maxCommandBytes = 64 << 10
 
-// validateJob checks a job against the configuration and gives a job without an id a random one. Whether workers can hold
-// the shape is checked by Jobs.
+// validateJob checks a job against the configuration and gives a job without an id a random one. It does not check
+// whether workers can hold the shape; Jobs does.
 func (a *API) validateJob(job *jobs.Job) error {
-	doc := a.settings.Configuration.Document()
+	doc := a.options.Configuration.Document()
 	if job.ID == "" {
 		job.ID = uuid.NewString()
 	}
@@ -79,7 +80,8 @@
 	return nil
 }
 
-// validID reports whether id can be the id of a patch or job: 1 to 64 letters, digits, '.', '_' or '-'.
+// validID reports whether id can be the id of a patch or job: 1 to 64 letters, digits, '.', '_' or '-'. Such an id needs
+// no escaping in a URL path.
 func validID(id string) bool {
 	if id == "" || len(id) > 64 {
 		return false
@@ -104,7 +106,7 @@
 	if !validState(state) {
 		return 0, nil, errkind.New(errkind.BadInput, "use a job state such as waiting or running", "unknown job state %q", state)
 	}
-	statuses, err := a.settings.Jobs.List(ctx, account, state)
+	statuses, err := a.options.Jobs.List(ctx, account, state)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -131,7 +133,7 @@
 // exist, so that an account cannot find out the ids of other accounts' jobs.
 func (a *API) accessibleJob(ctx context.Context, r *http.Request, p principal) (jobs.Status, error) {
 	id := r.PathValue("id")
-	status, err := a.settings.Jobs.Get(ctx, id)
+	status, err := a.options.Jobs.Get(ctx, id)
 	if err == nil && !p.canAccess(status.Job.Account) || errkind.Is(err, errkind.NotFound) {
 		return jobs.Status{}, errkind.New(errkind.NotFound, "run redwingctl job list", "there is no job %q", id)
 	}
@@ -143,7 +145,7 @@
 	return http.StatusOK, status, err
 }
 
-// WhyResult is the response to a why request: the reason for the state of a job.
+// WhyResult is the response to a why request: the reason for the state of a job, or the state itself if there is none.
 type WhyResult struct {
 	ID  string `json:"id"`
 	Why string `json:"why"`
@@ -165,7 +167,7 @@
 	if _, err := a.accessibleJob(ctx, r, p); err != nil {
 		return 0, nil, err
 	}
-	status, err := a.settings.Jobs.Cancel(ctx, r.PathValue("id"))
+	status, err := a.options.Jobs.Cancel(ctx, r.PathValue("id"))
 	if err != nil {
 		return 0, nil, err
 	}
--- a/processtest/outages_test.go
+++ b/processtest/outages_test.go
@@ -163,7 +163,7 @@
 		s.waitFor("running gang", 10*time.Second, func() error { return s.checkJobState(job, jobs.StateRunning) })
 		status, err := s.operator(s.vms[0]).Job(t.Context(), job)
 		if err != nil || len(status.Workers) != 2 {
-			t.Fatalf("got %+v, error %v", status, err)
+			t.Fatalf("got status %+v, error %v; want 2 workers", status, err)
 		}
 		silencedWorkers[job], firstAttempts[job] = status.Workers[1], status.Attempt
 	}
@@ -184,7 +184,7 @@
 		t.Logf("%s observed %v after the workers became silent", what, time.Since(silencedAt))
 	}
 	for job := range silencedWorkers {
-		waitWithoutOverlap("stop of "+job, gang.DifferBound-time.Since(silencedAt), func() error {
+		waitWithoutOverlap("stop of "+job, gang.DivergenceBound-time.Since(silencedAt), func() error {
 			if running := s.runningOn(job)[firstAttempts[job]]; len(running) > 0 {
 				return fmt.Errorf("%s runs on %v", job, running)
 			}
