--- a/dispatch/storm_test.go
+++ b/dispatch/storm_test.go
@@ -53,10 +53,10 @@
 	// partitionedUntil is when the worker becomes reachable again, leaseEnd when its lease expires.
 	partitionedUntil, leaseEnd time.Duration
 	doneAt                     map[workload.RunRef]time.Duration
-	// grantedUntil is the end of the longest lease that the worker may have received, deathReported whether the core was
+	// grantedUntil is the end of the longest lease that the worker may have received, goneReported whether the core was
 	// notified of its expiry.
 	grantedUntil  time.Duration
-	deathReported bool
+	goneReported bool
 }
 
 type stormRun struct {
@@ -222,7 +222,7 @@
 	}
 	s.takeOver()
 	for _, w := range s.state {
-		w.deathReported = false
+		w.goneReported = false
 		w.grantedUntil = s.now + stormForeignLease
 	}
 }
@@ -508,7 +508,7 @@
 	if !s.partitioned(id) {
 		state.fence = max(state.fence, s.fence)
 		state.leaseEnd = max(state.leaseEnd, s.grantLease(id))
-		state.deathReported = false
+		state.goneReported = false
 		for _, end := range s.workers[id].ended {
 			s.markCounted(end)
 		}
@@ -516,9 +516,9 @@
 		return
 	}
 	s.core.SetReachable(id, false)
-	if s.now > state.grantedUntil && !state.deathReported {
-		state.deathReported = true
-		s.core.WorkerDead(id)
+	if s.now > state.grantedUntil && !state.goneReported {
+		state.goneReported = true
+		s.core.MarkWorkerGone(id)
 	}
 }
 
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// WorkerDead records that no run started so far can still be running on the worker, and gives up all of them.
-func (c *Core) WorkerDead(id string) {
+// MarkWorkerGone records that no run started so far can still be running on the worker, and gives up all of them.
+func (c *Core) MarkWorkerGone(id string) {
 	w := c.workers[id]
 	if w == nil {
 		return
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -19,8 +19,8 @@
 	// maxLease is the longest lease of a run. It must outlast a takeover; a lost worker ends its runs when it expires.
 	maxLease = 6 * time.Second
 	// RenewalWithoutStore is how long leases are renewed after the store last confirmed that this VM holds the schedule.
-	// Together with the lease it bridges an outage of the store. The next holder waits that long before it declares
-	// workers dead that it cannot reach.
+	// Runs survive an outage of the store of up to this time plus the lease. The next holder waits that long before it
+	// reports workers that it cannot reach as gone.
 	RenewalWithoutStore = 4 * time.Second
 	// planInterval is the minimum time between two plans.
 	planInterval = 5 * time.Millisecond
--- a/leader/presence_test.go
+++ b/leader/presence_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestOnlyDeregisteredWorkersAreDeadAtOnce guards against tasks that wait for the lease of a worker that has ended its runs
+// TestOnlyDeregisteredWorkersAreGoneAtOnce guards against tasks that wait for the lease of a worker that has ended its runs
 // and removed its entry, and against tasks that run twice because a worker without heartbeats counts as such a worker.
-func TestOnlyDeregisteredWorkersAreDeadAtOnce(t *testing.T) {
+func TestOnlyDeregisteredWorkersAreGoneAtOnce(t *testing.T) {
 	heartbeat := 1500 * time.Millisecond
 	cases := []struct {
 		name         string
--- a/leader/session.go
+++ b/leader/session.go
@@ -50,8 +50,8 @@
 
 	mu    sync.Mutex
 	lease leaseClock
-	// reportedDead is true if the worker was reported dead to the core after its last response.
-	reportedDead bool
+	// reportedGone is true if the worker was reported to the core as gone after its last response.
+	reportedGone bool
 	// storedEnd is the sequence number up to which the ends of the current incarnation are stored.
 	storedEnd int64
 	// storedEndChanged is closed and replaced when storedEnd rises.
@@ -136,7 +136,7 @@
 func (s *session) recordResponse(listing *workload.Listing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reportedDead = false
+	s.reportedGone = false
 	s.lease.recordResponse(boottime.Now(), listing.ClockMS)
 	if s.incarnation != listing.Incarnation {
 		s.incarnation = listing.Incarnation
@@ -151,20 +151,20 @@
 	return s.lease.renew(boottime.Now())
 }
 
-// recordNoResponse records a request without response: it reports the worker to the core as unreachable, and as dead
+// recordNoResponse records a request without response: it reports the worker to the core as unreachable, and as gone
 // once its lease has expired.
 func (s *session) recordNoResponse() {
 	s.mu.Lock()
 	s.lease.recordNoResponse()
-	expired := !s.reportedDead && s.lease.allExpired(boottime.Now())
+	expired := !s.reportedGone && s.lease.allExpired(boottime.Now())
 	if expired {
-		s.reportedDead = true
+		s.reportedGone = true
 	}
 	s.mu.Unlock()
 	s.leader.enqueue(func(c *dispatch.Core) {
 		c.SetReachable(s.id, false)
 		if expired {
-			c.WorkerDead(s.id)
+			c.MarkWorkerGone(s.id)
 		}
 	})
 }
--- a/leader/workers.go
+++ b/leader/workers.go
@@ -25,22 +25,22 @@
 			l.logger.Debug().Err(err).Msg("worker list not read")
 		}
 		l.enqueue(func(c *dispatch.Core) {
-			l.reportUnlistedDead(c)
+			l.reportUnlistedGone(c)
 			l.closeUnusedSessions(c)
 		})
 		boottime.Sleep(ctx, workersInterval)
 	}
 }
 
-// reportUnlistedDead reports workers with restored runs as dead if they never appeared in the list, once the leases of
+// reportUnlistedGone reports workers with restored runs as gone if they never appeared in the list, once the leases of
 // earlier holders have expired.
-func (l *Leader) reportUnlistedDead(c *dispatch.Core) {
+func (l *Leader) reportUnlistedGone(c *dispatch.Core) {
 	if boottime.Now() < l.startedAt+l.earlierLeaseBound() {
 		return
 	}
 	for _, id := range c.Unverified() {
 		if l.sessions[id] == nil {
-			c.WorkerDead(id)
+			c.MarkWorkerGone(id)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	w.leader.enqueue(func(c *dispatch.Core) {
 		c.DropWorker(id)
 		if ended {
-			c.WorkerDead(id)
+			c.MarkWorkerGone(id)
 		}
 	})
 }
