--- a/dispatch/storm_test.go
+++ b/dispatch/storm_test.go
@@ -497,7 +497,7 @@
 	case cmd.attempt > 1:
 		s.core.AbandonStart(id, cmd.start.Ref, "no room")
 	default:
-		s.core.StartRefused(id, cmd.start.Ref, "no room")
+		s.core.StartRejected(id, cmd.start.Ref, "no room")
 	}
 }
 
--- a/dispatch/units.go
+++ b/dispatch/units.go
@@ -141,8 +141,8 @@
 	p.confirmedAt = c.now
 }
 
-// StartRefused records that the worker did not and will not begin the run.
-func (c *Core) StartRefused(workerID string, ref workload.RunRef, reason string) {
+// StartRejected records that the worker did not and will not begin the run.
+func (c *Core) StartRejected(workerID string, ref workload.RunRef, reason string) {
 	p := c.placement(workerID, ref)
 	if p == nil || p.confirmedAt >= 0 {
 		return
@@ -305,7 +305,7 @@
 	u.avoid[workerID]++
 }
 
-// AbandonStart gives up a start that the worker refused after an earlier attempt without a response, which may still be
+// AbandonStart gives up a start that the worker rejected after an earlier attempt without a response, which may still be
 // executed. It sends the worker a stop, so that the run cannot begin later.
 func (c *Core) AbandonStart(workerID string, ref workload.RunRef, reason string) {
 	p := c.placement(workerID, ref)
--- a/leader/session.go
+++ b/leader/session.go
@@ -257,7 +257,7 @@
 		// An earlier attempt may have been executed, or may be executed later; the worker must rule that out first.
 		s.leader.enqueue(func(c *dispatch.Core) { c.AbandonStart(s.id, ref, err.Error()) })
 	default:
-		s.leader.enqueue(func(c *dispatch.Core) { c.StartRefused(s.id, ref, err.Error()) })
+		s.leader.enqueue(func(c *dispatch.Core) { c.StartRejected(s.id, ref, err.Error()) })
 	}
 	if err == nil {
 		count(counterStartsAccepted)
