--- a/dispatch/cluster_test.go
+++ b/dispatch/cluster_test.go
@@ -56,7 +56,7 @@
 		}
 	})
 	c := &cluster{
-		t: t, core: New(Params{StopTimeout: time.Second}),
+		t: t, core: New(Options{StopTimeout: time.Second}),
 		wallStart: time.Unix(1_700_000_000, 0), now: time.Hour,
 		workers: map[string]*simWorker{}, stored: map[workload.JobID][]byte{},
 		specs: map[workload.JobID]*workload.Job{}, phases: map[workload.JobID]workload.Phase{},
@@ -226,7 +226,7 @@
 
 // takeOver replaces the core by a new one that knows only the stored states and the registered workers.
 func (c *cluster) takeOver() {
-	c.core = New(Params{StopTimeout: time.Second})
+	c.core = New(Options{StopTimeout: time.Second})
 	c.configureCore()
 	for _, id := range c.workerIDs {
 		c.core.SetWorker(c.workers[id].info)
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -27,8 +27,8 @@
 	"github.com/redwingthread/redwingthread/workload"
 )
 
-// Params are the deployment settings that decisions depend on.
-type Params struct {
+// Options are the deployment settings that decisions depend on.
+type Options struct {
 	// StopTimeout is the longest time between a stop command and the end of the run.
 	StopTimeout time.Duration
 }
@@ -64,7 +64,7 @@
 
 // Core holds the scheduling state of all unfinished jobs and known workers.
 type Core struct {
-	params  Params
+	options Options
 	config  *workload.Config
 	now     time.Duration
 	wall    time.Time
@@ -184,9 +184,9 @@
 const never = time.Duration(-1)
 
 // New returns an empty core.
-func New(params Params) *Core {
+func New(options Options) *Core {
 	return &Core{
-		params:     params,
+		options:    options,
 		config:     &workload.Config{},
 		workers:    map[string]*worker{},
 		jobs:       map[workload.JobID]*job{},
--- a/dispatch/storm_test.go
+++ b/dispatch/storm_test.go
@@ -55,7 +55,7 @@
 	doneAt                     map[workload.RunRef]time.Duration
 	// grantedUntil is the end of the longest lease that the worker may have received, goneReported whether the core was
 	// notified of its expiry.
-	grantedUntil  time.Duration
+	grantedUntil time.Duration
 	goneReported bool
 }
 
--- a/dispatch/units.go
+++ b/dispatch/units.go
@@ -8,7 +8,7 @@
 	"github.com/redwingthread/redwingthread/workload"
 )
 
-// stopRetryMargin is added to Params.StopTimeout before a stop is sent again.
+// stopRetryMargin is added to Options.StopTimeout before a stop is sent again.
 const stopRetryMargin = 500 * time.Millisecond
 
 // effectiveDemand returns the resources that a task of the step takes from a worker's capacity. Filler tasks use only
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -176,7 +176,7 @@
 		c.stopOrphan(w, r.RunRef)
 		return
 	}
-	if p.stopping && (p.unverified || c.now-p.stopSentAt > c.params.StopTimeout+stopRetryMargin) {
+	if p.stopping && (p.unverified || c.now-p.stopSentAt > c.options.StopTimeout+stopRetryMargin) {
 		c.resendStop(p)
 	}
 	if p.unverified {
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -50,9 +50,9 @@
 	View     *joblog.View
 	Workers  Workers
 	// DecodeWorker decodes an entry of the worker list.
-	DecodeWorker func(id string, text []byte) (workload.WorkerInfo, error)
-	Params       dispatch.Params
-	MaxLease     time.Duration
+	DecodeWorker    func(id string, text []byte) (workload.WorkerInfo, error)
+	DispatchOptions dispatch.Options
+	MaxLease        time.Duration
 	// HeartbeatInterval is the time between two updates of a worker's entry in the list.
 	HeartbeatInterval time.Duration
 	// StatusRetention is how long the state of an ended job must be readable.
@@ -211,7 +211,7 @@
 
 // load builds the core from the stored jobs. Earlier holders are fenced and can no longer change the states.
 func (l *Leader) load() {
-	l.core = dispatch.New(l.Params)
+	l.core = dispatch.New(l.DispatchOptions)
 	l.core.Advance(boottime.Now(), time.Now())
 	l.configMu.Lock()
 	l.core.SetConfig(l.config)
--- a/node/membership.go
+++ b/node/membership.go
@@ -196,7 +196,7 @@
 	n := m.node
 	l := leader.New(leader.Options{
 		Epoch: m.generation, Log: n.Log, Hedge: &n.hedge, Follower: n.follower, View: n.view, Workers: n.Workers,
-		DecodeWorker: n.Decoder.WorkerRecord, Params: n.dispatchParams(), MaxLease: n.Settings.Bounds.MaxLease,
+		DecodeWorker: n.Decoder.WorkerRecord, DispatchOptions: n.dispatchOptions(), MaxLease: n.Settings.Bounds.MaxLease,
 		HeartbeatInterval: n.Settings.Bounds.HeartbeatInterval,
 		StatusRetention:   n.Settings.Bounds.StatusRetention, Logger: n.Logger,
 		ConfirmedAt: func() time.Duration { return time.Duration(m.confirmedAt.Load()) },
--- a/node/options.go
+++ b/node/options.go
@@ -38,8 +38,8 @@
 	Logger   zerolog.Logger
 }
 
-func (o *Options) dispatchParams() dispatch.Params {
-	return dispatch.Params{StopTimeout: o.Settings.Bounds.StopTimeout}
+func (o *Options) dispatchOptions() dispatch.Options {
+	return dispatch.Options{StopTimeout: o.Settings.Bounds.StopTimeout}
 }
 
 const (
