--- a/dispatch/storm_test.go
+++ b/dispatch/storm_test.go
@@ -241,7 +241,7 @@
 		}
 		switch {
 		case s.now > state.leaseEnd:
-			s.endRun(id, ref, workload.EndLapsed)
+			s.endRun(id, ref, workload.EndLeaseExpired)
 		case s.now < state.doneAt[ref] || !s.gangPresent(ref):
 		case !s.faultsOver && s.rng.IntN(12) == 0:
 			s.endRun(id, ref, workload.EndFailed)
@@ -299,7 +299,7 @@
 		return
 	}
 	if reason != workload.EndDone {
-		reason = workload.EndBroken
+		reason = workload.EndGangMemberEnded
 	}
 	for _, other := range s.workerIDs {
 		for _, member := range s.workers[other].refs() {
--- a/workload/cluster.go
+++ b/workload/cluster.go
@@ -118,12 +118,12 @@
 	EndDone    EndReason = "done"
 	EndFailed  EndReason = "failed"
 	EndStopped EndReason = "stopped"
-	// EndLapsed means that the lease of the worker's runs expired.
-	EndLapsed EndReason = "lapsed"
-	// EndBroken means that another member of the gang ended before the gang was done.
-	EndBroken EndReason = "broken"
-	// EndAlone means that the other members of the gang did not start in time.
-	EndAlone EndReason = "alone"
+	// EndLeaseExpired means that the lease of the worker's runs expired.
+	EndLeaseExpired EndReason = "lapsed"
+	// EndGangMemberEnded means that another member of the gang ended before the gang was done.
+	EndGangMemberEnded EndReason = "broken"
+	// EndGangNotStarted means that the other members of the gang did not start in time.
+	EndGangNotStarted EndReason = "alone"
 )
 
 // RunRef identifies one run of a task.
