--- a/dispatch/cluster_test.go
+++ b/dispatch/cluster_test.go
@@ -65,9 +65,9 @@
 	c.config = &workload.Config{
 		Version: 1,
 		Queues: []workload.Queue{
-			{Name: "urgent", Service: "svc", Priority: 0, MaxAttempts: 2, SlackFactor: 1.5, Target: 250 * time.Millisecond},
-			{Name: "normal", Service: "svc", Priority: 1, MaxAttempts: 3, SlackFactor: 3, Target: time.Second},
-			{Name: "batch", Service: "svc", Priority: 2, MaxAttempts: 2, SlackFactor: 3, Target: 3 * time.Second},
+			{Name: "urgent", Service: "svc", Priority: 0, MaxFailedRuns: 2, SlackFactor: 1.5, Target: 250 * time.Millisecond},
+			{Name: "normal", Service: "svc", Priority: 1, MaxFailedRuns: 3, SlackFactor: 3, Target: time.Second},
+			{Name: "batch", Service: "svc", Priority: 2, MaxFailedRuns: 2, SlackFactor: 3, Target: 3 * time.Second},
 		},
 		Accounts: []workload.Account{{Name: "large", GuaranteedAccelerators: 32}, {Name: "small", GuaranteedAccelerators: 8}},
 	}
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -240,7 +240,7 @@
 		c.ended[spec.ID] = c.now
 		return
 	}
-	j := &job{spec: spec, queue: workload.Queue{Name: spec.Queue, Service: spec.Service, MaxAttempts: 1}}
+	j := &job{spec: spec, queue: workload.Queue{Name: spec.Queue, Service: spec.Service, MaxFailedRuns: 1}}
 	if q := c.config.Queue(spec.Queue); q != nil {
 		j.queue = *q
 	}
--- a/dispatch/units.go
+++ b/dispatch/units.go
@@ -226,7 +226,7 @@
 	}
 	u.state.LastCountedRun = end.Run
 	u.state.Failures++
-	if u.state.Failures >= j.queue.MaxAttempts && !u.step.spec.LongRunning {
+	if u.state.Failures >= j.queue.MaxFailedRuns && !u.step.spec.LongRunning {
 		c.event(Event{Name: "job failed", Job: j.spec.ID, Detail: end.Task.String()})
 		c.finishJob(j, workload.PhaseFailed)
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -38,7 +38,7 @@
 	}
 	config := &workload.Config{
 		Version:     stored.Version,
-		Queues:      []workload.Queue{{Name: "scan", Host: testHost, PathPrefix: "/scan/", Service: "svc", MaxAttempts: 2}},
+		Queues:      []workload.Queue{{Name: "scan", Host: testHost, PathPrefix: "/scan/", Service: "svc", MaxFailedRuns: 2}},
 		KeyAccounts: stored.Keys,
 	}
 	config.Index()
--- a/workload/cluster.go
+++ b/workload/cluster.go
@@ -18,8 +18,8 @@
 	Public bool
 	// Priority 0 is the highest; its jobs may preempt those of other priorities.
 	Priority int
-	// MaxAttempts is the number of failed runs of one task after which its job fails.
-	MaxAttempts int
+	// MaxFailedRuns is the number of failed runs of one task after which its job fails.
+	MaxFailedRuns int
 	// SlackFactor times the job's critical path, plus Target, is the time within which callers want the job done.
 	SlackFactor float64
 	Target      time.Duration
