--- a/dispatch/assert.go
+++ b/dispatch/assert.go
@@ -6,7 +6,7 @@
 )
 
 // assertStart checks the preconditions of every start: the run has all its members, no other run of the unit exists, the
-// work has not ended, and none of the workers is draining.
+// step and the job have not ended, and none of the workers is draining.
 func (c *Core) assertStart(u *unit, workers []*worker) {
 	s := u.step
 	task := u.task(0)
@@ -19,8 +19,7 @@
 	}
 }
 
-// assertNotPlaced checks that the worker has no placement with the same reference, which the new one would silently
-// overwrite.
+// assertNotPlaced checks that the worker has no placement with the same reference, which p would overwrite.
 func assertNotPlaced(p *placement) {
 	invariant.Check(p.worker.runs[p.ref] == nil, invariant.AtMostOnce, "%v is placed twice on worker %s", p.ref, p.worker.id)
 }
--- a/dispatch/assert_test.go
+++ b/dispatch/assert_test.go
@@ -7,7 +7,7 @@
 	"github.com/redwingthread/redwingthread/workload"
 )
 
-// collectViolations returns a log that records the failed assertions of a test.
+// collectViolations returns a collection of the assertions that fail from now until the end of the test.
 func collectViolations(t testing.TB) *invariant.Log {
 	log := &invariant.Log{}
 	t.Cleanup(invariant.SetRecorder(log.Record))
@@ -17,7 +17,7 @@
 // TestAssertionsReportViolations guards against assertions that detect nothing: each case violates one of them.
 func TestAssertionsReportViolations(t *testing.T) {
 	cases := map[string]struct {
-		promise invariant.ID
+		want    invariant.ID
 		violate func(c *Core, u *unit, w *worker)
 	}{
 		"start of a part of a gang": {invariant.GangAllOrNothing, func(c *Core, u *unit, w *worker) { c.start(u, []*worker{w}) }},
@@ -47,10 +47,10 @@
 			test.violate(c.core, c.core.jobs["a"].repetitions[0][0].units[0], c.core.workers["w00"])
 			found := false
 			for _, v := range log.Violations() {
-				found = found || v.ID == test.promise
+				found = found || v.ID == test.want
 			}
 			if !found {
-				t.Errorf("no violation of %s among %v", test.promise, log.Violations())
+				t.Errorf("no violation of %s among %v", test.want, log.Violations())
 			}
 		})
 	}
--- a/dispatch/cluster_test.go
+++ b/dispatch/cluster_test.go
@@ -19,14 +19,15 @@
 	workers   map[string]*simWorker
 	// workerIDs holds the workers' ids in the order in which they were added.
 	workerIDs []string
-	// stored is the latest state of each job, as a store would hold it.
+	// stored is the latest encoded state of each job, as a store would hold it, and phases the phase in it.
 	stored map[workload.JobID][]byte
 	specs  map[workload.JobID]*workload.Job
 	phases map[workload.JobID]workload.Phase
 	// submitted and endedAt are the times at which each job was submitted and its final phase was stored.
 	submitted, endedAt map[workload.JobID]time.Duration
-	starts             []Start
-	stops              []Stop
+	// starts and stops hold the commands of all plans.
+	starts []Start
+	stops  []Stop
 }
 
 // simWorker is a simulated worker.
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -1,4 +1,4 @@
-// Package dispatch decides where the tasks of queued jobs run.
+// Package dispatch decides when and on which workers the tasks of queued jobs run.
 //
 // Core is a deterministic state machine: it does no I/O, reads no clock and starts no goroutines. Its owner reports
 // submissions, cancellations, worker listings and responses to start and stop commands, and calls Plan. The owner must
@@ -11,10 +11,10 @@
 //   - plan.go: the order in which waiting steps are tried
 //   - place.go: placement of a step's tasks on workers
 //   - search.go: cache of placement searches that failed within a plan
-//   - reclaim.go: preemption of running work for urgent work
+//   - reclaim.go: stops of running work for urgent work
 //   - assert.go: assertions on starts
 //   - health.go: quarantine of workers on which runs fail or stall
-//   - rate.go: detection of workers that run tasks slowly
+//   - rate.go: detection of workers that run tasks slowly, and their exclusion
 //   - move.go: migration of runs away from slow workers
 package dispatch
 
@@ -33,7 +33,7 @@
 	StopTimeout time.Duration
 }
 
-// Start is a command that tells a worker to begin a run.
+// Start is a command that tells a worker to begin a run, from the checkpoint unless that is empty.
 type Start struct {
 	Ref           workload.RunRef
 	Worker        string
@@ -41,7 +41,7 @@
 	Checkpoint    string
 }
 
-// Stop is a command that tells a worker to end a run.
+// Stop is a command that tells a worker to end a run. Reason is only for the log.
 type Stop struct {
 	Ref    workload.RunRef
 	Worker string
@@ -69,35 +69,38 @@
 	now     time.Duration
 	wall    time.Time
 	workers map[string]*worker
-	// sortedWorkers holds the workers in order of id, so that equal inputs give equal plans.
+	// sortedWorkers holds the same workers in order of id, so that equal inputs give equal plans.
 	sortedWorkers []*worker
 	jobs          map[workload.JobID]*job
 	// ended maps each ended job to the time at which the core learned of its end. It is kept because the job may still be
 	// added again with a state from before its end.
 	ended map[workload.JobID]time.Duration
-	// queue holds the same jobs in order of acceptance.
-	queue   []*job
+	// sortedJobs holds the same jobs as jobs in order of acceptance.
+	sortedJobs []*job
+	// changed holds the jobs whose states have changed since the last call of TakeChanges.
 	changed map[workload.JobID]*job
-	starts  []Start
-	stops   []Stop
+	// starts and stops hold the commands issued since the last call of Plan.
+	starts []Start
+	stops  []Stop
 	// accountUse maps each account to the number of accelerators that its placed priority 0 work uses.
 	accountUse map[string]int
-	// freeAccelerators is the number of free accelerators on workers that accept work, as of the current plan.
+	// freeAccelerators is the number of free accelerators on workers that accept work and are not excluded, as of the
+	// current plan.
 	freeAccelerators int
 	// utilization is the fraction of accelerators in use, 0 to 1, as of the current plan.
 	utilization     float64
 	stallsCheckedAt time.Duration
 	// racks is the number of racks with registered workers.
 	racks int
-	// tooManySuspects suspends quarantine, because it would exclude too many workers.
-	tooManySuspects bool
-	// tooManySlow suspends the exclusion of slow workers, because it would exclude too many.
+	// tooManyQuarantined is set if quarantine is not applied because it would exclude too many workers.
+	tooManyQuarantined bool
+	// tooManySlow is set if slow workers are not excluded because there are too many of them.
 	tooManySlow bool
-	// typical maps each queue to the typical progress rates of its runs.
-	typical map[string]*typicalRate
-	// failed caches the searches of the current plan that found no room.
-	failed failedSearches
-	events []Event
+	// typicalRates maps the name of each queue to the typical progress rates of its runs.
+	typicalRates map[string]*typicalRate
+	// searchCache caches the searches of the current plan that found no room.
+	searchCache failedSearches
+	events      []Event
 }
 
 // Event is a decision, or a change in what the core knows of a worker or run, that the owner logs.
@@ -114,7 +117,8 @@
 	phase workload.Phase
 	// repetitions holds the steps of each repetition that is due or was restored.
 	repetitions [][]*step
-	placements  int
+	// placements is the number of placements of all units of the job.
+	placements int
 }
 
 type step struct {
@@ -123,56 +127,64 @@
 	repetition int
 	index      int
 	units      []*unit
-	done       bool
-	// readySince is when the step's predecessors were found to be done; never before that.
+	// done is true once all units have ended successfully.
+	done bool
+	// readySince is when the step's predecessors were found to be done; before that it is the constant never.
 	readySince time.Duration
-	claim      *claim
-	// reclaimFailedAt is when the last search for work to stop for this step failed; never if none has.
+	// claim is the capacity that is kept for the step; nil for none.
+	claim *claim
+	// reclaimFailedAt is when the last search for work to stop for this step failed; the constant never if none has failed.
 	reclaimFailedAt time.Duration
 	// rank and sortTime order the steps in the current plan; a step with a lower rank, then an earlier time, comes first.
 	rank     int
 	sortTime time.Time
 }
 
+// unit is a set of tasks that start and end together: one task, or all tasks of a gang.
 type unit struct {
 	step *step
 	// index is the task's index within the step; 0 for a gang.
-	index      int
-	size       int
+	index int
+	// size is the number of tasks.
+	size int
+	// state is the durable state, except for Workers, which export derives from placements.
 	state      workload.UnitState
 	placements []*placement
 	// aborting reports that the current run is being stopped; the unit waits until all its placements are gone.
 	aborting bool
 	// startedAt is when the start of the current run was decided.
 	startedAt time.Duration
-	avoid     map[string]int
+	// avoid counts for each worker id the runs of the unit that failed, stalled, were slow or were rejected there.
+	avoid map[string]int
 }
 
-// placement is one member of a unit's run on a worker.
+// placement is one member of a unit's run on a worker, or a listed run that belongs to no unit.
 type placement struct {
+	// unit is nil for a listed run that belongs to no unit.
 	unit   *unit
 	member int
 	ref    workload.RunRef
 	worker *worker
-	// confirmedAt is when the worker responded to the start or a stop; negative before that. A listing that contains the
-	// run does not count: another attempt of the start may arrive after the worker's process has restarted.
+	// confirmedAt is when the worker responded to the start or a stop; the constant never before that. A listing that
+	// contains the run does not count: another attempt of the start may arrive after the worker's process has restarted.
 	confirmedAt time.Duration
-	// unverified placements were restored after a takeover and have not appeared in a listing since.
+	// unverified placements were restored after a takeover, and their worker has not listed its runs since.
 	unverified bool
+	// stopping is true once a stop has been issued. The capacity stays in use until the end of the run is listed.
 	stopping   bool
 	stopReason string
 	// stopSentAt is when the stop command was last issued.
 	stopSentAt time.Duration
-	// finished placements belong to a gang that is done, but their own end has not been listed yet.
-	finished     bool
+	// gangDone placements belong to a gang that is done, but their own end has not been listed yet.
+	gangDone     bool
 	orphanDemand resource.Resources
 
 	// percent is the latest listed progress, 0 to 100. percentAt is the worker's clock when that value was first listed;
-	// negative before the first.
+	// the constant never before the first listing.
 	percent   int
 	percentAt time.Duration
-	// window is the start of the current rate measurement. rate is the highest normal rate measured, in percent per
-	// second; 0 if unknown.
+	// window is the start of the current rate measurement. rate is the highest normal rate measured on the worker's clock,
+	// in percent per second; 0 if none was measured.
 	window rateWindow
 	rate   float64
 	// slowRate is the measured rate of a slow run and usualRate the rate expected of it, in percent per second; slowRate is
@@ -180,46 +192,47 @@
 	slowRate, usualRate float64
 }
 
-// never marks an event that has not happened yet.
+// never is the time of an event that has not happened yet.
 const never = time.Duration(-1)
 
 // New returns an empty core.
 func New(options Options) *Core {
 	return &Core{
-		options:    options,
-		config:     &workload.Config{},
-		workers:    map[string]*worker{},
-		jobs:       map[workload.JobID]*job{},
-		ended:      map[workload.JobID]time.Duration{},
-		changed:    map[workload.JobID]*job{},
-		accountUse: map[string]int{},
-		typical:    map[string]*typicalRate{},
+		options:      options,
+		config:       &workload.Config{},
+		workers:      map[string]*worker{},
+		jobs:         map[workload.JobID]*job{},
+		ended:        map[workload.JobID]time.Duration{},
+		changed:      map[workload.JobID]*job{},
+		accountUse:   map[string]int{},
+		typicalRates: map[string]*typicalRate{},
 	}
 }
 
-// Advance sets the time for the calls that follow: now from a monotonic clock, wall for due times.
+// Advance sets the time for the calls that follow: now on a monotonic clock, which never goes back, and wall for due times.
 func (c *Core) Advance(now time.Duration, wall time.Time) {
 	c.now = max(c.now, now)
 	c.wall = wall
 }
 
-// SetConfig replaces the configuration.
+// SetConfig replaces the configuration. Jobs whose queue is missing in it keep the queue's previous settings.
 func (c *Core) SetConfig(config *workload.Config) {
 	c.config = config
-	for _, j := range c.queue {
+	for _, j := range c.sortedJobs {
 		if q := config.Queue(j.spec.Queue); q != nil {
 			j.queue = *q
 		}
 	}
 }
 
-// HasJob reports whether the core holds the job as unfinished or ended.
+// HasJob reports whether the core knows the job, be it unfinished or ended.
 func (c *Core) HasJob(id workload.JobID) bool {
 	_, ended := c.ended[id]
 	return ended || c.jobs[id] != nil
 }
 
-// TakeEnded removes the jobs that ended before the given time and returns their ids.
+// TakeEnded returns the ids of the jobs whose end the core learned of before the given time, and forgets them. Jobs with
+// placements left are not included.
 func (c *Core) TakeEnded(before time.Duration) []workload.JobID {
 	var ids []workload.JobID
 	for id, at := range c.ended {
@@ -248,15 +261,15 @@
 		c.restore(j, state)
 	}
 	c.jobs[spec.ID] = j
-	at, _ := slices.BinarySearchFunc(c.queue, j, compareAcceptance)
-	c.queue = slices.Insert(c.queue, at, j)
+	at, _ := slices.BinarySearchFunc(c.sortedJobs, j, compareAcceptance)
+	c.sortedJobs = slices.Insert(c.sortedJobs, at, j)
 }
 
 func compareAcceptance(a, b *job) int {
 	return cmp.Or(a.spec.AcceptedAt.Compare(b.spec.AcceptedAt), cmp.Compare(a.spec.ID, b.spec.ID))
 }
 
-// CancelJob stops all runs of the job and starts no more.
+// CancelJob stops all runs of the job and starts no more. It has no effect on a job that is unknown or has ended.
 func (c *Core) CancelJob(id workload.JobID) {
 	j := c.jobs[id]
 	if j == nil || j.phase.Final() {
@@ -279,13 +292,14 @@
 	c.removeIfFinished(j)
 }
 
+// stopStep stops the runs of all units of the step that are not done.
 func (c *Core) stopStep(s *step, reason string) {
 	for _, u := range s.units {
 		if u.state.Status == workload.UnitDone {
 			continue
 		}
 		for _, p := range slices.Clone(u.placements) {
-			if !p.finished {
+			if !p.gangDone {
 				c.stop(p, reason)
 			}
 		}
@@ -301,14 +315,14 @@
 		return
 	}
 	delete(c.jobs, j.spec.ID)
-	if at := slices.Index(c.queue, j); at >= 0 {
-		c.queue = slices.Delete(c.queue, at, at+1)
+	if at := slices.Index(c.sortedJobs, j); at >= 0 {
+		c.sortedJobs = slices.Delete(c.sortedJobs, at, at+1)
 	}
 }
 
 func (c *Core) markChanged(j *job) { c.changed[j.spec.ID] = j }
 
-// TakeChanges returns the states that changed since the last call, in order of job id.
+// TakeChanges returns the job states that changed since the last call, in order of job id.
 func (c *Core) TakeChanges() []Change {
 	changes := make([]Change, 0, len(c.changed))
 	for id, j := range c.changed {
@@ -394,7 +408,7 @@
 }
 
 // restore rebuilds a job's steps from its durable state. Active units are assumed to be running until a listing or the
-// expiry of the worker's lease shows otherwise.
+// expiry of the worker's lease shows otherwise. Repetitions beyond those of the job are not restored.
 func (c *Core) restore(j *job, state *workload.JobState) {
 	j.phase = state.Phase
 	if len(state.Repetitions) > j.spec.RepetitionCount() {
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -9,12 +9,12 @@
 const (
 	// failuresToQuarantine is the number of consecutive failed runs of different jobs after which a worker is quarantined.
 	failuresToQuarantine = 2
-	// quarantineDuration is how long a quarantined worker gets no work; it doubles with each further failure.
+	// quarantineDuration is how long a quarantined worker gets no new work; it doubles with each further failure.
 	quarantineDuration = 4 * time.Second
 	// maxQuarantineDuration limits the doubling.
 	maxQuarantineDuration = 16 * time.Second
-	// stallTimeout is how long a run may show no progress before it is moved. It also covers the time before the first
-	// percent, in which a run waits for its image, its checkpoint and the rest of its gang.
+	// stallTimeout is how long a run may show no progress before it is stopped to be started elsewhere. It also covers the
+	// time before the first percent, in which a run waits for its image, its checkpoint and the rest of its gang.
 	stallTimeout = 3500 * time.Millisecond
 	// stallInterval is the time between two searches for stalled and slow runs.
 	stallInterval = 250 * time.Millisecond
@@ -28,11 +28,11 @@
 	// since the last success.
 	failedJob workload.JobID
 	failures  int
-	// quarantinedUntil is the end of the quarantine.
+	// quarantinedUntil is the end of the last quarantine; 0 if there was none.
 	quarantinedUntil time.Duration
 }
 
-// updateHealth updates the worker's health by the end of a run.
+// updateHealth updates the worker's health after the end of a run.
 func (c *Core) updateHealth(p *placement, reason workload.EndReason) {
 	h := &p.worker.health
 	switch reason {
@@ -60,24 +60,24 @@
 	c.event(Event{Name: "worker quarantined", Worker: w.id, Detail: reason})
 }
 
-// quarantined reports whether the worker gets no new work, because of failures or because it is slow. Quarantine is
-// suspended if too many workers are in it, since the jobs are then more likely to be at fault.
-func (c *Core) quarantined(w *worker) bool {
-	return w.health.quarantinedUntil > c.now && !c.tooManySuspects || c.slow(w)
+// excluded reports whether the worker gets no new work, because it is quarantined or slow. Quarantine is not applied if too
+// many workers are quarantined, since the jobs are then more likely to be the cause of the failures.
+func (c *Core) excluded(w *worker) bool {
+	return w.health.quarantinedUntil > c.now && !c.tooManyQuarantined || c.excludedAsSlow(w)
 }
 
-// updateSuspects decides whether quarantine and the exclusion of slow workers apply.
-func (c *Core) updateSuspects() {
-	suspects, slow := 0, 0
+// updateExclusions decides whether quarantine and the exclusion of slow workers are applied.
+func (c *Core) updateExclusions() {
+	quarantined, slow := 0, 0
 	for _, w := range c.sortedWorkers {
 		if w.health.quarantinedUntil > c.now {
-			suspects++
+			quarantined++
 		}
 		if w.probationUntil > c.now {
 			slow++
 		}
 	}
-	c.tooManySuspects = float64(suspects) > maxQuarantinedShare*float64(len(c.sortedWorkers))
+	c.tooManyQuarantined = float64(quarantined) > maxQuarantinedShare*float64(len(c.sortedWorkers))
 	c.tooManySlow = float64(slow) > maxSlowShare*float64(len(c.sortedWorkers))
 }
 
--- a/dispatch/lifecycle_test.go
+++ b/dispatch/lifecycle_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestFailureIsCountedOnce guards against a job that fails before it has used its attempts: after a takeover, the next
-// holder reads a failure again that the previous one had counted but not yet acknowledged to the worker.
+// TestFailureIsCountedOnce guards against a job that fails after fewer failed runs than its queue allows: after a takeover,
+// the next holder reads a failure again that the previous one had counted but not yet acknowledged to the worker.
 func TestFailureIsCountedOnce(t *testing.T) {
 	c := newCluster(t, 2)
 	c.submit("a", "normal", "large", tasks(1, 1))
@@ -49,13 +49,13 @@
 	}
 	c.plan()
 	if c.phases["a"].Final() {
-		t.Fatalf("the job is %v after 2 of 3 attempts", c.phases["a"])
+		t.Fatalf("the job is %v after 2 of the 3 failed runs that end it, want a phase that is not final", c.phases["a"])
 	}
 	c.endAll("a", workload.EndFailed)
 	c.listAll()
 	c.store()
 	if c.phases["a"] != workload.PhaseFailed {
-		t.Fatalf("the job is %v after 3 failed attempts", c.phases["a"])
+		t.Fatalf("the job is %v after 3 failed runs, want failed", c.phases["a"])
 	}
 }
 
@@ -75,7 +75,7 @@
 }
 
 // TestUnreachableWorkerKeepsItsRuns guards against a task that runs twice because its worker was unreachable but still
-// running it.
+// running it, and against one that is not started elsewhere once the worker is gone.
 func TestUnreachableWorkerKeepsItsRuns(t *testing.T) {
 	c := newCluster(t, 2)
 	c.submit("a", "normal", "large", tasks(1, 1))
@@ -89,7 +89,7 @@
 	c.core.MarkWorkerGone(start.Worker)
 	plan := c.plan()
 	if len(plan.Starts) != 1 || plan.Starts[0].Worker == start.Worker || plan.Starts[0].Ref.Run <= start.Ref.Run {
-		t.Fatalf("starts after the lease has expired are %v, want one on the other worker with a higher run number", plan.Starts)
+		t.Fatalf("starts after the worker is gone are %v, want one on the other worker with a higher run number", plan.Starts)
 	}
 }
 
@@ -103,7 +103,7 @@
 	c.core.CancelJob("a")
 	plan := c.plan()
 	if len(plan.Stops) != 8 || len(plan.Starts) != 0 {
-		t.Fatalf("%d stops and %d starts after the cancellation", len(plan.Stops), len(plan.Starts))
+		t.Fatalf("%d stops and %d starts after the cancellation, want 8 and 0", len(plan.Stops), len(plan.Starts))
 	}
 	c.listAll()
 	if plan := c.plan(); len(plan.Starts) > 0 || len(c.placed("a")) > 0 {
@@ -111,7 +111,8 @@
 	}
 }
 
-// TestGangCollapsesTogether guards against members of a gang that keep running after another member has failed.
+// TestGangCollapsesTogether guards against members of a gang that keep running after another member has failed, and against
+// a gang that is then restarted in part or under the old run number.
 func TestGangCollapsesTogether(t *testing.T) {
 	c := newCluster(t, 8)
 	c.submit("a", "normal", "large", gangOf(4, 8))
@@ -172,7 +173,8 @@
 	}
 }
 
-// TestRepetitionsStartWhenDue guards against scheduled repetitions that start before or long after their due time.
+// TestRepetitionsStartWhenDue guards against scheduled repetitions that start before, or more than 200 ms after, their due
+// time.
 func TestRepetitionsStartWhenDue(t *testing.T) {
 	c := newCluster(t, 2)
 	c.submitJob(&workload.Job{
@@ -188,7 +190,7 @@
 		c.advance(50 * time.Millisecond)
 	}
 	if len(at) != 2 || at[0] < time.Second || at[0] > 1200*time.Millisecond || at[1] < 4*time.Second || at[1] > 4200*time.Millisecond {
-		t.Fatalf("repetitions started at %v, want 1s and 4s", at)
+		t.Fatalf("repetitions started at %v, want two, at 1s and 4s or up to 200 ms later", at)
 	}
 }
 
--- a/dispatch/move.go
+++ b/dispatch/move.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// slowHorizon is how much longer a slow worker is assumed to stay slow.
+	// slowHorizon is how much longer a slow worker is assumed to stay slow; after that it is assumed to be as fast as usual.
 	slowHorizon = 5 * time.Second
-	// minMoveGain is the least time by which a move must bring the end of a run forward.
+	// minMoveGain is the least time by which a run must end earlier for a move to be worthwhile.
 	minMoveGain = time.Second
 )
 
-// moveSlow stops checkpointing runs on slow workers if they would finish earlier elsewhere and there is room for them now.
+// moveSlow stops checkpointing runs on slow workers, to start them elsewhere, if they would end earlier there and there is
+// room for them now.
 // Runs without checkpoints stay: under load, restarting them from the beginning costs other work more than it saves.
 func (c *Core) moveSlow() {
 	for _, w := range c.sortedWorkers {
-		if !c.slow(w) {
+		if !c.excludedAsSlow(w) {
 			continue
 		}
 		for _, p := range w.sortedRuns() {
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// urgentHold is how long steps of priority 1 may not use the capacity of urgent work that has just ended; steps of
-	// priority 2 and lower wait twice as long.
+	// urgentHold is how long steps of priority 1 may not use a worker on which urgent work has just ended; steps of priority
+	// maxHoldPriority and lower priorities wait maxHoldPriority times as long.
 	urgentHold      = 400 * time.Millisecond
 	maxHoldPriority = 2
 	// idleLocalityWait is how long a step waits for its preferred rack while most accelerators are idle.
 	idleLocalityWait = 1200 * time.Millisecond
-	// minBusyLocalityWait is the least time that a step waits for its preferred rack while the service is busy.
+	// minBusyLocalityWait is the least time that a step waits for its preferred rack while the workers are busy.
 	minBusyLocalityWait = 2500 * time.Millisecond
-	// idleUtilization is the fraction of accelerators in use below which the service counts as idle.
+	// idleUtilization is the fraction of accelerators in use below which the workers count as idle.
 	idleUtilization = 0.5
 )
 
-// Weights of the penalties that rank workers for a task; the worker with the lowest sum is chosen.
+// Weights of the penalties that rank workers for a task; the worker with the lowest sum is chosen. weightAvoided counts for
+// each run of the unit that went wrong on the worker, weightRemote for a worker outside the preferred rack, and
+// weightFailures for each failure on the worker since its last success.
 const (
 	weightAvoided  = 10_000
 	weightRemote   = 1_000
@@ -32,7 +34,7 @@
 
 // findPlacement returns the workers on which the unit can start now, one per member; nil if there is no room.
 func (c *Core) findPlacement(u *unit) []*worker {
-	if c.failed.includes(c, u) {
+	if c.searchCache.includes(c, u) {
 		return nil
 	}
 	if u.size > 1 {
@@ -42,10 +44,11 @@
 	} else if w := c.findWorker(u); w != nil {
 		return []*worker{w}
 	}
-	c.failed.add(c, u)
+	c.searchCache.add(c, u)
 	return nil
 }
 
+// free returns the worker's capacity minus that of its runs and of claims; components may be negative.
 func (w *worker) free() resource.Resources { return w.info.Capacity.Sub(w.used).Sub(w.claimed) }
 
 // acceptsWork reports whether the worker is registered, has listed its runs, is reachable and is not draining.
@@ -64,10 +67,10 @@
 	if s.spec.RequiredLabel != "" && !w.info.HasLabel(s.spec.RequiredLabel) {
 		return false
 	}
-	return !c.quarantined(w) && c.allowedOnProbation(w, s)
+	return !c.excluded(w) && c.allowedOnProbation(w, s)
 }
 
-// freeFor returns the capacity of the worker that is free for the step now.
+// freeFor returns the capacity of the worker that is free for the step now; zero if it is held for urgent work.
 func (c *Core) freeFor(w *worker, s *step) resource.Resources {
 	if c.heldForUrgent(w, s) {
 		return resource.Resources{}
@@ -75,8 +78,8 @@
 	return w.free()
 }
 
-// heldForUrgent reports whether urgent work has just ended on the worker and the step is less urgent. More urgent work is
-// likely to arrive soon; a task placed here would be stopped for it and lose its progress.
+// heldForUrgent reports whether urgent work has just ended on the worker and the step is less urgent. Further urgent work
+// is likely to arrive soon; a task placed here would be stopped for it and lose its progress.
 func (c *Core) heldForUrgent(w *worker, s *step) bool {
 	hold := time.Duration(min(s.job.queue.Priority, maxHoldPriority)) * urgentHold
 	return hold > 0 && w.urgentEndedAt > 0 && c.now-w.urgentEndedAt < hold
@@ -111,6 +114,7 @@
 	return int(max(0, n))
 }
 
+// quotient returns how many times demand fits into free: 0 if free is negative, math.MaxInt32 if demand is 0.
 func quotient(free, demand int64) int64 {
 	if demand == 0 {
 		return math.MaxInt32
@@ -130,7 +134,7 @@
 	return waited >= max(minBusyLocalityWait, s.spec.Estimate)
 }
 
-// updateUtilization computes the fraction of accelerators in use and the number of racks.
+// updateUtilization computes the number of racks and the fraction of accelerators in use, which is 1 if there are none.
 func (c *Core) updateUtilization() {
 	var used, capacity int
 	racks := map[string]bool{}
@@ -148,7 +152,7 @@
 	}
 }
 
-// findWorker returns the best worker for a single task.
+// findWorker returns the best worker for a single task; nil if none has room.
 func (c *Core) findWorker(u *unit) *worker {
 	s := u.step
 	var best *worker
@@ -176,7 +180,8 @@
 	return best
 }
 
-// preferredRack returns the rack in which the step's tasks run fastest; empty for any.
+// preferredRack returns the rack in which the step's tasks run fastest: that of their data, else that of the step's first
+// placement if its tasks should share a rack. It is empty if there is none.
 func (s *step) preferredRack() string {
 	if s.spec.DataRack != "" || !s.spec.SameRack {
 		return s.spec.DataRack
@@ -196,16 +201,18 @@
 	})
 }
 
-// penalty rates a worker for a task; lower is better. It prefers the worker that is left with the fewest free
-// accelerators (best fit), so that whole workers stay free for large tasks.
+// penalty rates a worker for a task; lower is better. It prefers workers without failures, and among those the one that is
+// left with the fewest free accelerators (best fit), so that whole workers stay free for large tasks.
 func (u *unit) penalty(w *worker) int {
 	left := w.free().Accelerators - u.step.spec.Demand.Accelerators
 	return left + u.avoid[w.id]*weightAvoided + w.health.failures*weightFailures
 }
 
-// rackRoom describes how many members of a gang one rack, or all racks together, can run.
+// rackRoom describes how many members of a gang one rack, or all racks together, can run. rack, accelerators and avoided
+// are zero for all racks together.
 type rackRoom struct {
-	rack    string
+	rack string
+	// workers holds the workers that can run at least one member.
 	workers []*worker
 	// room is the number of members that each of the workers can run, total their sum.
 	room  []int
@@ -216,13 +223,13 @@
 	avoided int
 }
 
-// findGang returns workers for all members of a gang.
+// findGang returns workers for all members of a gang; nil if there is no room, or if the gang should wait for a rack.
 func (c *Core) findGang(u *unit) []*worker {
 	s := u.step
 	if !s.spec.SameRack && c.freeAccelerators < u.size*s.spec.Demand.Accelerators {
 		return nil
 	}
-	racks := c.rackRooms(u)
+	racks := c.roomsNow(u)
 	if !s.spec.SameRack && s.spec.DataRack == "" {
 		return assignMembers(u, merge(racks))
 	}
@@ -251,11 +258,12 @@
 	return cmp.Or(cmp.Compare(r.avoided, o.avoided), cmp.Compare(r.accelerators, o.accelerators))
 }
 
-// rackRooms returns the room that each rack has for the gang now.
-func (c *Core) rackRooms(u *unit) []*rackRoom {
+// roomsNow returns the room that each rack has for the gang now.
+func (c *Core) roomsNow(u *unit) []*rackRoom {
 	return c.roomsWith(u, func(w *worker) resource.Resources { return c.freeFor(w, u.step) })
 }
 
+// roomsWith returns the room that each rack has for the unit if free returns the free capacity of its workers.
 func (c *Core) roomsWith(u *unit, free func(*worker) resource.Resources) []*rackRoom {
 	byRack := map[string]*rackRoom{}
 	var racks []*rackRoom
@@ -275,7 +283,7 @@
 }
 
 // largestRoom returns the largest room for the unit: that of one rack if its members should share one, else that of all
-// racks together. It returns nil if there is none.
+// racks together. It returns nil if the members should share a rack and no worker is eligible.
 func (c *Core) largestRoom(u *unit, free func(*worker) resource.Resources) *rackRoom {
 	racks := c.roomsWith(u, free)
 	if !u.step.spec.SameRack {
@@ -302,6 +310,7 @@
 	r.avoided += u.avoid[w.id]
 }
 
+// merge returns the room of all racks together.
 func merge(racks []*rackRoom) *rackRoom {
 	all := &rackRoom{}
 	for _, r := range racks {
@@ -312,18 +321,19 @@
 	return all
 }
 
-// anyRackCouldFit reports whether the eligible workers of some rack could hold the gang if they were empty.
+// anyRackCouldFit reports whether the eligible workers of some suitable rack could hold the gang if they were empty.
 func (c *Core) anyRackCouldFit(u *unit) bool {
 	key := searchKeyOf(c, u.step)
-	if room, known := c.failed.emptyRack[key]; known {
+	if room, known := c.searchCache.emptyRack[key]; known {
 		return room >= u.size
 	}
 	room := c.largestEmptyRack(u)
-	c.failed.addEmptyRack(key, room)
+	c.searchCache.addEmptyRack(key, room)
 	return room >= u.size
 }
 
-// largestEmptyRack returns how many members of the gang the largest suitable rack could hold if it were empty.
+// largestEmptyRack returns how many members of the gang the largest suitable rack could hold if it were empty; 0 if no rack
+// is suitable. Only the rack of the data is suitable unless the members should share a rack.
 func (c *Core) largestEmptyRack(u *unit) int {
 	racks := c.roomsWith(u, func(w *worker) resource.Resources { return w.info.Capacity })
 	largest := 0
@@ -335,7 +345,7 @@
 	return largest
 }
 
-// assignMembers assigns the members to workers in order of penalty; nil if there is not enough room.
+// assignMembers returns one worker per member, taken in order of penalty; nil if there is not enough room.
 func assignMembers(u *unit, r *rackRoom) []*worker {
 	if r.total < u.size {
 		return nil
@@ -356,8 +366,8 @@
 	return members
 }
 
-// reserve keeps free room for a blocked gang from the steps behind it, where the most members fit. Single tasks start as
-// soon as there is room for one and need no reservation.
+// reserve reserves free room for a blocked gang, where most of its members fit, so that later steps in the queue cannot use
+// it. Single tasks start as soon as there is room for one and need no reservation.
 func (c *Core) reserve(s *step) {
 	if !s.spec.Gang {
 		return
@@ -388,11 +398,11 @@
 	return n
 }
 
-// updateFreeAccelerators sums the free accelerators of the workers that accept work and are not quarantined.
+// updateFreeAccelerators sums the free accelerators of the workers that accept work and are not excluded.
 func (c *Core) updateFreeAccelerators() {
 	c.freeAccelerators = 0
 	for _, w := range c.sortedWorkers {
-		if w.acceptsWork() && !c.quarantined(w) {
+		if w.acceptsWork() && !c.excluded(w) {
 			c.freeAccelerators += max(0, w.free().Accelerators)
 		}
 	}
--- a/dispatch/plan.go
+++ b/dispatch/plan.go
@@ -11,7 +11,7 @@
 const (
 	// dueMargin is added to due times, because a repetition must not start early by the clock of a worker that is behind.
 	dueMargin = 20 * time.Millisecond
-	// claimDuration is how long the capacity of stopped work is kept for the step that it was stopped for.
+	// claimDuration is how long the capacity of stopped work is kept for the step for which the work was stopped.
 	claimDuration = 2500 * time.Millisecond
 	// racksPerReservation limits the blocked steps that may reserve free capacity to one per so many racks;
 	// minReservations is the limit in small deployments.
@@ -25,17 +25,17 @@
 	reservationDelay = 700 * time.Millisecond
 )
 
-// claim is capacity that is kept for a waiting step: members is the number of tasks for each worker. A claim without an
-// expiry time is a reservation, which lasts for one plan.
+// claim is capacity that is kept for a waiting step: members is the number of tasks on each worker. A claim with expiresAt 0
+// is a reservation, which lasts for one plan.
 type claim struct {
 	step      *step
 	members   map[*worker]int
 	expiresAt time.Duration
 }
 
-// Plan decides which runs to start and stop now.
+// Plan decides which runs to start and stop now. It also returns the commands that other methods issued since the last plan.
 func (c *Core) Plan() Plan {
-	c.updateSuspects()
+	c.updateExclusions()
 	c.updateUtilization()
 	if c.now-c.stallsCheckedAt >= stallInterval {
 		c.stallsCheckedAt = c.now
@@ -45,7 +45,7 @@
 	ready := c.readySteps()
 	c.expireClaims(ready)
 	c.updateFreeAccelerators()
-	c.failed = failedSearches{}
+	c.searchCache = failedSearches{}
 	reservations := 0
 	for _, s := range ready {
 		if c.tryStart(s) {
@@ -72,7 +72,7 @@
 // NextDue returns the due time of the next repetition of any scheduled job; the zero time if there is none.
 func (c *Core) NextDue() time.Time {
 	var next time.Time
-	for _, j := range c.queue {
+	for _, j := range c.sortedJobs {
 		if j.phase.Final() || len(j.repetitions) >= j.spec.RepetitionCount() {
 			continue
 		}
@@ -84,10 +84,10 @@
 	return next
 }
 
-// readySteps returns the steps that have waiting units and whose predecessors are done, in the order of rank and sortTime.
+// readySteps returns the steps that have waiting units and whose predecessors are done, in order of rank and sortTime.
 func (c *Core) readySteps() []*step {
 	var ready []*step
-	for _, j := range c.queue {
+	for _, j := range c.sortedJobs {
 		if j.phase.Final() {
 			continue
 		}
@@ -114,6 +114,7 @@
 	}
 }
 
+// appendReady appends to ready those of a repetition's steps that are ready, and records since when they are.
 func (c *Core) appendReady(ready []*step, steps []*step) []*step {
 	for _, s := range steps {
 		if s.done || !predecessorsDone(steps, s) {
@@ -140,7 +141,7 @@
 
 func waiting(u *unit) bool { return u.state.Status == workload.UnitWaiting && !u.aborting }
 
-// rank orders steps: work within its account's guarantee first, then by priority.
+// rank returns the rank of the step: 0 for work within its account's guarantee, else 1 plus the priority.
 func (c *Core) rank(s *step) int {
 	if c.withinGuarantee(s) {
 		return 0
@@ -148,8 +149,8 @@
 	return 1 + s.job.queue.Priority
 }
 
-// deferral returns how much later than its job's acceptance a step is queued: wide steps let narrower ones pass for a
-// while.
+// deferral returns by how much the step's sortTime is after its job's acceptance, so that narrower steps can pass wide ones
+// for a while; 0 for urgent steps.
 func (s *step) deferral() time.Duration {
 	if s.job.queue.Priority == 0 {
 		return 0
@@ -157,7 +158,8 @@
 	return min(time.Duration(s.spec.Tasks)*deferralPerTask, maxDeferral)
 }
 
-// withinGuarantee reports whether the account's guarantee covers the step in addition to the account's running work.
+// withinGuarantee reports whether the step has priority 0 and its account's guarantee covers its waiting tasks in addition
+// to the account's placed work of priority 0.
 func (c *Core) withinGuarantee(s *step) bool {
 	j := s.job
 	if j.queue.Priority != 0 {
@@ -166,6 +168,7 @@
 	return c.accountUse[j.spec.Account]+c.waitingAccelerators(s) <= c.guarantee(j.spec.Account)
 }
 
+// waitingAccelerators returns the number of accelerators that the step's waiting tasks need.
 func (c *Core) waitingAccelerators(s *step) int {
 	n := 0
 	for _, u := range s.units {
@@ -176,6 +179,7 @@
 	return n
 }
 
+// guarantee returns the account's number of guaranteed accelerators; 0 for an unknown account.
 func (c *Core) guarantee(account string) int {
 	for i := range c.config.Accounts {
 		if c.config.Accounts[i].Name == account {
@@ -216,7 +220,8 @@
 	return complete
 }
 
-// addClaim subtracts a claim from the free capacity of its workers; removeClaim reverts that.
+// addClaim subtracts a claim from the free capacity of its workers; removeClaim reverts that. Neither has an effect if cl
+// is nil.
 func (c *Core) addClaim(cl *claim)    { c.adjustClaimed(cl, 1) }
 func (c *Core) removeClaim(cl *claim) { c.adjustClaimed(cl, -1) }
 
--- a/dispatch/rate.go
+++ b/dispatch/rate.go
@@ -12,41 +12,44 @@
 	minRateProgress = 6
 	// slowRatio is the fraction of its expected rate below which a run is slow. Tasks of one step differ by less.
 	slowRatio = 0.45
-	// slowExclusion is how long a worker gets no work after a slow run was last measured there. For probationDuration after
-	// that, only single tasks that are not urgent may run on the worker: a slow member would hold back a whole gang.
-	slowExclusion     = 2 * time.Second
-	probationDuration = 4 * time.Second
+	// slowExclusionDuration is how long a worker gets no work after a slow run was last measured there. For
+	// probationDuration after that, only single tasks that are not urgent may be placed on the worker: a slow member would
+	// hold back a whole gang.
+	slowExclusionDuration = 2 * time.Second
+	probationDuration     = 4 * time.Second
 	// maxSlowShare is the largest fraction of all workers that may be excluded as slow.
 	maxSlowShare = 0.4
-	// siblingRates is the least number of measured tasks of a step from which the expected rate of one is derived.
-	siblingRates = 3
+	// minSiblingRates is the least number of measured tasks of a step from which the expected rate of one is derived.
+	minSiblingRates = 3
 	// typicalAdjustment is the factor by which one run moves the typical rate of its queue.
 	typicalAdjustment = 1.05
 	// minTypicalRuns is the number of runs after which the typical rate of a queue is used.
 	minTypicalRuns = 10
 )
 
-// rateWindow is the start of a rate measurement. at is on the worker's clock, since listings may arrive late.
+// rateWindow is the start of a rate measurement: the time on the worker's clock, since listings may arrive late, and the
+// progress at that time. open is false if no measurement has begun.
 type rateWindow struct {
 	open    bool
 	at      time.Duration
 	percent int
 }
 
-// typicalRate tracks two running medians over the runs of a queue: the rate in percent per second, and the rate relative
-// to the estimate. Estimates may be wrong and tasks may be long, so a run counts as slow only if it is slow by both.
+// typicalRate tracks two running medians over the runs of a queue: rate in percent per second, and relativeRate in
+// multiples of the rate that follows from the estimate. Estimates may be wrong and tasks may be long, so a run counts as
+// slow only if it is slow by both medians.
 type typicalRate struct {
-	runs            int
-	rate, estimated float64
+	runs               int
+	rate, relativeRate float64
 }
 
-func (t *typicalRate) observe(rate, estimated float64) {
+func (t *typicalRate) observe(rate, relativeRate float64) {
 	if t.runs == 0 {
-		t.rate, t.estimated = rate, estimated
+		t.rate, t.relativeRate = rate, relativeRate
 	}
 	t.runs++
 	t.rate = adjustTowards(t.rate, rate)
-	t.estimated = adjustTowards(t.estimated, estimated)
+	t.relativeRate = adjustTowards(t.relativeRate, relativeRate)
 }
 
 func adjustTowards(typical, value float64) float64 {
@@ -56,11 +59,11 @@
 	return typical / typicalAdjustment
 }
 
-// slow reports whether the worker gets no work because it runs tasks slowly.
-func (c *Core) slow(w *worker) bool { return w.slowUntil > c.now && !c.tooManySlow }
+// excludedAsSlow reports whether the worker gets no work because it runs tasks slowly.
+func (c *Core) excludedAsSlow(w *worker) bool { return w.slowUntil > c.now && !c.tooManySlow }
 
-// allowedOnProbation reports whether the step may run on the worker with respect to probation, which lasts until a run
-// on a formerly slow worker has a normal rate or probationDuration has passed.
+// allowedOnProbation reports whether probation allows the step to be placed on the worker. Probation lasts until a run on a
+// formerly slow worker has a normal rate or probationDuration has passed.
 func (c *Core) allowedOnProbation(w *worker, s *step) bool {
 	return w.probationUntil <= c.now || c.tooManySlow || !s.spec.Gang && s.job.queue.Priority > 0
 }
@@ -112,20 +115,20 @@
 	return !s.Filler && !s.LongRunning && p.percent > 0 && p.percent < 100
 }
 
-// expectedRate returns the rate, in percent per second, that the run should have; false if there is no basis for one.
+// expectedRate returns the rate, in percent per second, that the run should have; false if too few rates are known to tell.
 func (c *Core) expectedRate(p *placement) (rate float64, known bool) {
 	s := p.unit.step
-	if rates := c.siblingRates(s); len(rates) >= siblingRates {
+	if rates := c.siblingRates(s); len(rates) >= minSiblingRates {
 		return max(p.rate, rates[len(rates)/2]), true
 	}
 	if p.rate > 0 {
 		return p.rate, true
 	}
-	t := c.typical[s.job.queue.Name]
+	t := c.typicalRates[s.job.queue.Name]
 	if t == nil || t.runs < minTypicalRuns {
 		return 0, false
 	}
-	return min(t.rate, t.estimated*100/s.spec.Estimate.Seconds()), true
+	return min(t.rate, t.relativeRate*100/s.spec.Estimate.Seconds()), true
 }
 
 // siblingRates returns the normal rates of the step's running tasks in ascending order.
@@ -142,8 +145,8 @@
 	return rates
 }
 
-// comparable reports whether the run's rate can be compared with others: a task away from its data is slower, and so is
-// a step that is spread over several racks although it should share one.
+// comparable reports whether the rate of the run, which belongs to the step, can be compared with others: a task away from
+// its data is slower, and so is a step that is spread over several racks although it should share one.
 func (s *step) comparable(p *placement) bool {
 	if s.spec.Estimate <= 0 || s.spec.DataRack != "" && p.worker.info.Rack != s.spec.DataRack {
 		return false
@@ -161,7 +164,7 @@
 	return true
 }
 
-// recordInitialRate records the first measured rate of a run, unless its worker is excluded as slow.
+// recordInitialRate records the first measured rate of a run, unless it is 0 or the worker is slow.
 func (c *Core) recordInitialRate(p *placement, rate float64) {
 	s := p.unit.step
 	if p.rate > 0 || rate <= 0 || p.worker.slowUntil > c.now {
@@ -182,12 +185,13 @@
 	}
 }
 
+// typicalOf returns the typical rate of the step's queue, which it creates if necessary.
 func (c *Core) typicalOf(s *step) *typicalRate {
 	name := s.job.queue.Name
-	if c.typical[name] == nil {
-		c.typical[name] = &typicalRate{}
+	if c.typicalRates[name] == nil {
+		c.typicalRates[name] = &typicalRate{}
 	}
-	return c.typical[name]
+	return c.typicalRates[name]
 }
 
 // markSlow excludes the worker of a slow run from new work for a while.
@@ -196,6 +200,6 @@
 	if w.slowUntil <= c.now {
 		c.event(Event{Name: "worker slow", Job: p.ref.Task.Job, Worker: w.id, Detail: p.ref.Task.String()})
 	}
-	w.slowUntil = c.now + slowExclusion
+	w.slowUntil = c.now + slowExclusionDuration
 	w.probationUntil = w.slowUntil + probationDuration
 }
--- a/dispatch/reclaim.go
+++ b/dispatch/reclaim.go
@@ -13,7 +13,7 @@
 	acceleratorCores = 8
 	// priority0CostFactor makes work of priority 0 the last to be stopped.
 	priority0CostFactor = 50
-	// priority1CostFactor makes work of lower priority than 1 be stopped first.
+	// priority1CostFactor makes work of priority 2 or lower be stopped before work of priority 1.
 	priority1CostFactor = 2
 	// restartLoss is the time that any unit loses between a stop and its new start, while its capacity is idle.
 	restartLoss = 700 * time.Millisecond
@@ -23,7 +23,7 @@
 	maxCheckpointLoss = time.Second
 )
 
-// mayReclaim reports whether other work may be stopped for the step.
+// mayReclaim reports whether other work may be stopped for the step: only for urgent steps, those of priority 0.
 func (c *Core) mayReclaim(s *step) bool { return s.job.queue.Priority == 0 }
 
 // reclaim stops the cheapest set of units that makes room for an urgent step, and claims that room for the step. It
@@ -36,9 +36,9 @@
 	if s.reclaimFailedAt >= 0 && c.now-s.reclaimFailedAt < reclaimRetryInterval {
 		return false
 	}
-	var best *eviction
+	var best *reclaimPlan
 	for _, area := range c.areas(s) {
-		e := c.planEviction(s, area)
+		e := c.planReclaim(s, area)
 		if e != nil && (best == nil || e.cost < best.cost) {
 			best = e
 		}
@@ -56,8 +56,9 @@
 	return true
 }
 
-// eviction is a set of units to stop for a step, with the members that each worker then takes.
-type eviction struct {
+// reclaimPlan is a set of units to stop for a step, the cost of that, and the number of members of the step that each
+// worker can run afterwards.
+type reclaimPlan struct {
 	victims []*unit
 	members map[*worker]int
 	cost    float64
@@ -103,34 +104,35 @@
 	return total >= s.waitingTasks()
 }
 
-// planEviction returns the cheapest eviction found that fits the waiting tasks into the area; nil if there is none. It is
-// greedy: it makes room for one task at a time, on the worker where that loses the least work.
-func (c *Core) planEviction(s *step, area []*worker) *eviction {
-	p := &evictionPlan{core: c, step: s, area: area, free: map[*worker]resource.Resources{}, missing: s.waitingTasks()}
+// planReclaim returns the cheapest plan found that fits the waiting tasks into the area; nil if there is none. It is
+// greedy: it makes room for one task at a time, on the worker where that costs the least.
+func (c *Core) planReclaim(s *step, area []*worker) *reclaimPlan {
+	p := &reclaimSearch{core: c, step: s, area: area, free: map[*worker]resource.Resources{}, missing: s.waitingTasks()}
 	p.result.members = map[*worker]int{}
 	for _, w := range area {
 		p.free[w] = w.freeAfterStops()
 	}
 	for p.placeInFree(); p.missing > 0; p.placeInFree() {
-		if !p.evictCheapest() {
+		if !p.selectCheapest() {
 			return nil
 		}
 	}
 	return &p.result
 }
 
-// evictionPlan is the state of one search for an eviction. missing is the number of tasks that have no place yet.
-type evictionPlan struct {
+// reclaimSearch is the state of one search for a reclaimPlan. free is the capacity of each worker that is free after the
+// stops selected so far, missing the number of tasks that have no place yet.
+type reclaimSearch struct {
 	core    *Core
 	step    *step
 	area    []*worker
 	free    map[*worker]resource.Resources
 	missing int
-	result  eviction
+	result  reclaimPlan
 }
 
 // placeInFree assigns tasks that have no place yet to free room.
-func (p *evictionPlan) placeInFree() {
+func (p *reclaimSearch) placeInFree() {
 	demand := effectiveDemand(p.step.spec)
 	for _, w := range p.area {
 		n := min(p.missing, p.step.roomFor(w, p.free[w])-p.assignedUnderLimit(w))
@@ -143,17 +145,17 @@
 	}
 }
 
-// assignedUnderLimit returns how many tasks of this plan already count against MaxPerWorker on the worker; roomFor does
-// not know of them.
-func (p *evictionPlan) assignedUnderLimit(w *worker) int {
+// assignedUnderLimit returns how many tasks this plan has assigned to the worker if MaxPerWorker limits them, else 0;
+// roomFor does not count them.
+func (p *reclaimSearch) assignedUnderLimit(w *worker) int {
 	if p.step.spec.MaxPerWorker == 0 {
 		return 0
 	}
 	return p.result.members[w]
 }
 
-// evictCheapest selects the units to stop that make room for one more task at the least cost; false if there are none.
-func (p *evictionPlan) evictCheapest() bool {
+// selectCheapest adds the units to the plan whose stops make room for one more task at the least cost; false if no stops do.
+func (p *reclaimSearch) selectCheapest() bool {
 	var best []*unit
 	var bestCost float64
 	for _, w := range p.area {
@@ -174,8 +176,9 @@
 	return best != nil
 }
 
-// victimsOn returns the units to stop on the worker to make room for one more task, and the cost of stopping them.
-func (p *evictionPlan) victimsOn(w *worker) ([]*unit, float64) {
+// victimsOn returns the units to stop on the worker to make room for one more task, and the cost of stopping them. The
+// units are nil if no stops make room.
+func (p *reclaimSearch) victimsOn(w *worker) ([]*unit, float64) {
 	demand := effectiveDemand(p.step.spec)
 	if !demand.Fits(w.info.Capacity) || p.step.spec.MaxPerWorker > 0 && p.step.countOn(w)+p.result.members[w] >= p.step.spec.MaxPerWorker {
 		return nil, 0
@@ -212,7 +215,7 @@
 }
 
 // candidatesOn returns the units on the worker that may be stopped, in ascending order of cost.
-func (p *evictionPlan) candidatesOn(w *worker) []victim {
+func (p *reclaimSearch) candidatesOn(w *worker) []victim {
 	var candidates []victim
 	for _, placed := range w.sortedRuns() {
 		u := placed.unit
@@ -251,8 +254,9 @@
 	return float64(d.MilliCPU)/1000 + float64(d.Accelerators*acceleratorCores)
 }
 
-// mayStop reports whether the unit may be stopped for the step. That is work of lower priority and, if the step is within
-// its account's guarantee, also work of priority 0 of an account that exceeds its own guarantee.
+// mayStop reports whether the unit may be stopped for the step. That holds for work of lower priority and, if the step is
+// within its account's guarantee, also for work of priority 0 of an account that exceeds its own guarantee. Long-running
+// work and other work of the same job may not be stopped.
 func (c *Core) mayStop(u *unit, s *step) bool {
 	j := u.step.job
 	if u.step.spec.LongRunning || j == s.job {
--- a/dispatch/search.go
+++ b/dispatch/search.go
@@ -31,9 +31,9 @@
 // failedSearches caches the searches of one plan that found no room. This is valid because room only shrinks within a
 // plan, except for the claim of a step, which only that step may use.
 type failedSearches struct {
-	// smallest is the smallest number of members for which a search failed.
+	// smallest maps each key to the smallest number of members for which a search failed.
 	smallest map[searchKey]int
-	// emptyRack is the number of members that the largest suitable rack could hold if it were empty.
+	// emptyRack maps each key to the number of members that the largest suitable rack could hold if it were empty.
 	emptyRack map[searchKey]int
 }
 
@@ -46,6 +46,7 @@
 	return failed && u.size >= size
 }
 
+// add records that the search for the unit found no room. A unit whose step has a claim is not recorded.
 func (f *failedSearches) add(c *Core, u *unit) {
 	if u.step.claim != nil {
 		return
@@ -59,6 +60,7 @@
 	}
 }
 
+// addEmptyRack records the number of members that the largest suitable rack could hold if it were empty.
 func (f *failedSearches) addEmptyRack(key searchKey, room int) {
 	if f.emptyRack == nil {
 		f.emptyRack = map[searchKey]int{}
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -96,7 +96,7 @@
 	c.runFor(2 * time.Second)
 	for i := range 4 {
 		if waitTime := c.waitTime(fmt.Sprintf("urgent%d", i)); waitTime > time.Second {
-			t.Errorf("guaranteed job %d waited %v", i, waitTime)
+			t.Errorf("guaranteed job %d waited %v, want at most 1s", i, waitTime)
 		}
 	}
 }
@@ -110,10 +110,10 @@
 	c.submitEstimated("urgent", "urgent", "large", gangOf(1, 8))
 	c.runFor(200 * time.Millisecond)
 	if len(c.stops) > 8 {
-		t.Fatalf("%d tasks were stopped for 8 accelerators", len(c.stops))
+		t.Fatalf("%d tasks were stopped for 8 accelerators, want at most 8", len(c.stops))
 	}
 	if waitTime := c.waitTime("urgent"); waitTime > 200*time.Millisecond {
-		t.Fatalf("the urgent job waited %v", waitTime)
+		t.Fatalf("the urgent job waited %v, want at most 200ms", waitTime)
 	}
 }
 
@@ -151,12 +151,12 @@
 		c.runFor(300 * time.Millisecond)
 	}
 	if waitTime := c.waitTime("wide"); waitTime > 15*time.Second {
-		t.Fatalf("the wide gang waited %v while tasks of 6 s ran", waitTime)
+		t.Fatalf("the wide gang waited %v while tasks of 6 s ran, want at most 15s", waitTime)
 	}
 }
 
-// TestCancellationWave guards against cancelled work that keeps its capacity: half of the jobs on a full cluster are
-// cancelled at once.
+// TestCancellationWave guards against cancelled work that keeps running or keeps its capacity: half of the jobs on a full
+// cluster are cancelled at once.
 func TestCancellationWave(t *testing.T) {
 	c := newTimedCluster(t, 8)
 	for i := range 40 {
@@ -199,7 +199,7 @@
 	c.submitEstimated("sound", "normal", "large", tasks(8, 1))
 	c.runFor(200 * time.Millisecond)
 	if waitTime := c.waitTime("sound"); waitTime > 100*time.Millisecond {
-		t.Fatalf("the healthy job waited %v", waitTime)
+		t.Fatalf("the healthy job waited %v, want at most 100ms", waitTime)
 	}
 }
 
@@ -225,7 +225,8 @@
 	}
 }
 
-// TestStalledRunIsMoved guards against a task that makes no progress on a worker that responds to all requests.
+// TestStalledRunIsMoved guards against a task that makes no progress on a worker that responds to all requests and is not
+// started on another worker.
 func TestStalledRunIsMoved(t *testing.T) {
 	c := newCluster(t, 2)
 	c.submit("a", "normal", "large", tasks(1, 1))
@@ -240,7 +241,7 @@
 		c.advance(500 * time.Millisecond)
 	}
 	if stopped == 0 || stopped > 5*time.Second {
-		t.Fatalf("the stalled run was stopped after %v, want within 5 s", stopped)
+		t.Fatalf("the stalled run was stopped after %v (0 if never), want within 5 s", stopped)
 	}
 	c.listAll()
 	plan := c.plan()
@@ -278,7 +279,7 @@
 	// The first five urgent jobs find the workers full and stop a gang each; each later one may start in the capacity that an
 	// earlier one has released.
 	if stopped := len(c.stops); stopped > 4*5 {
-		t.Errorf("%d tasks were stopped for %d urgent jobs", stopped, jobs)
+		t.Errorf("%d tasks were stopped for %d urgent jobs, want at most 20", stopped, jobs)
 	}
 }
 
@@ -299,16 +300,16 @@
 	}
 	for i := range 4 {
 		if waitTime := c.waitTime(fmt.Sprintf("narrow%02d", i)); waitTime > 6*time.Second {
-			t.Errorf("narrow gang %d waited %v behind wide ones", i, waitTime)
+			t.Errorf("narrow gang %d waited %v behind wide ones, want at most 6s", i, waitTime)
 		}
 		if waitTime := c.waitTime(fmt.Sprintf("wide%d", i)); waitTime > 24*time.Second {
-			t.Errorf("wide gang %d waited %v", i, waitTime)
+			t.Errorf("wide gang %d waited %v, want at most 24s", i, waitTime)
 		}
 	}
 }
 
 // TestTaskWaitsForItsRackBehindUrgentWork guards against a task that runs away from its data, where it takes three times
-// as long, because the workers of its rack are held for urgent work for a short time.
+// as long, or waits long, because the workers of its rack are held for urgent work for a short time.
 func TestTaskWaitsForItsRackBehindUrgentWork(t *testing.T) {
 	c := newTimedCluster(t, 2*workersPerRack)
 	blocked := tasks(workersPerRack, 8)
@@ -327,10 +328,10 @@
 	c.runFor(time.Second)
 	for ref, id := range c.placed("near") {
 		if rack := c.workers[id].info.Rack; rack != "r0" {
-			t.Errorf("%v runs in rack %s", ref, rack)
+			t.Errorf("%v runs in rack %s, want r0", ref, rack)
 		}
 	}
 	if waitTime := c.waitTime("near"); waitTime > time.Second {
-		t.Errorf("the task waited %v", waitTime)
+		t.Errorf("the task waited %v, want at most 1s", waitTime)
 	}
 }
--- a/dispatch/slow_test.go
+++ b/dispatch/slow_test.go
@@ -23,8 +23,11 @@
 	*cluster
 	// duration is the run time of each job's tasks at full speed.
 	duration map[workload.JobID]time.Duration
-	speed    map[string]float64
+	// speed is the speed of each worker; 1 is full speed.
+	speed map[string]float64
+	// workDone is the fraction of its work that each run has done, from 0.
 	workDone map[workload.RunRef]float64
+	// listedAt is when each worker last listed its runs.
 	listedAt map[string]time.Duration
 	// listingDelay is how much later the next listings of these workers arrive, with their original content.
 	listingDelay map[string]time.Duration
@@ -138,9 +141,9 @@
 
 // slowWorkers returns the workers that the core excludes as slow.
 func (p *pacedCluster) slowWorkers() (ids []string) {
-	p.core.updateSuspects()
+	p.core.updateExclusions()
 	for _, w := range p.core.sortedWorkers {
-		if p.core.slow(w) {
+		if p.core.excludedAsSlow(w) {
 			ids = append(ids, w.id)
 		}
 	}
@@ -156,8 +159,9 @@
 }
 
 // TestQuarterOfTheWorkersSlow guards against work that is still placed on workers after they have slowed to a fifth of
-// their speed. Two listings of a run show the speed; after that a slow worker gets work only on probation. The others
-// have room for everything, so at most one gang per slow worker may be late.
+// their speed, and against workers that stay excluded after they have regained it. Two listings of a run show the speed;
+// after that a slow worker gets work only on probation. The others have room for everything, so at most one gang per slow
+// worker may be late.
 func TestQuarterOfTheWorkersSlow(t *testing.T) {
 	const workers, slowed = 24, 6
 	// inTime is the slack factor of the queue times the run time of the gangs, plus the queue's target.
@@ -183,12 +187,12 @@
 		}
 	}
 	if late > slowed {
-		t.Errorf("%d of %d urgent gangs were not done within %v", late, submitted, inTime)
+		t.Errorf("%d of %d urgent gangs were not done within %v, want at most 6", late, submitted, inTime)
 	}
 	p.setSpeed(slowed, 1)
-	p.submitStream(slowExclusion + 5*time.Second)
+	p.submitStream(slowExclusionDuration + 5*time.Second)
 	if ids := p.slowWorkers(); len(ids) > 0 {
-		t.Errorf("%v are still excluded as slow", ids)
+		t.Errorf("%v are still excluded as slow after they have regained their speed", ids)
 	}
 }
 
@@ -201,7 +205,7 @@
 	p.setSpeed(4, 1.0/slowFactor)
 	p.runFor(5 * time.Second)
 	if ids := p.slowWorkers(); len(ids) > 0 {
-		t.Errorf("%v of 8 workers are excluded as slow", ids)
+		t.Errorf("%v of 8 workers are excluded as slow, want none", ids)
 	}
 }
 
@@ -244,7 +248,7 @@
 			t.Fatalf("%v are excluded as slow", ids)
 		}
 		if len(p.stops) > 0 {
-			t.Fatalf("%d runs were stopped, the first because %q", len(p.stops), p.stops[0].Reason)
+			t.Fatalf("%d runs were stopped, want none; the reason of the first is %q", len(p.stops), p.stops[0].Reason)
 		}
 	}
 }
--- a/dispatch/storm_test.go
+++ b/dispatch/storm_test.go
@@ -18,7 +18,7 @@
 	stormTicks   = 600
 	stormJobs    = 60
 	stormWorkers = 16
-	// stormLease is how long an unreachable worker keeps its runs.
+	// stormLease is the length of a lease, and so the time for which an unreachable worker keeps its runs.
 	stormLease = 6 * time.Second
 	// stormForeignLease is how long a new holder waits before it gives up the runs of a worker that it cannot reach.
 	stormForeignLease = stormLease + 4*time.Second
@@ -36,7 +36,7 @@
 	*cluster
 	rng        *rand.Rand
 	faultsOver bool
-	fence      int64
+	epoch      int64
 	commands   []*stormCommand
 	state      map[string]*stormWorker
 	runs       map[workload.TaskID][]*stormRun
@@ -46,7 +46,7 @@
 }
 
 type stormWorker struct {
-	fence int64
+	epoch int64
 	// highestClosed is the highest run of each task that the worker has ended or received a stop for. It starts no run of
 	// the task up to that number.
 	highestClosed map[workload.TaskID]int64
@@ -64,26 +64,26 @@
 	worker string
 	reason workload.EndReason
 	ended  bool
-	// counted reports that the end was listed to a core, voided that the worker's lease had expired before that.
+	// counted is true if the end was listed to a core, voided if the worker's lease had expired before that.
 	counted, voided bool
 }
 
-// stormCommand is a start or stop command of a holder, sent again until there is a response.
+// stormCommand is a start or stop command of a holder, which is sent again until there is a response.
 type stormCommand struct {
-	fence   int64
+	epoch   int64
 	start   *Start
 	stop    *Stop
 	attempt int
 	// sendAt is when the attempt is sent, if it is still wanted then. arrivesAt is zero until it is sent.
 	sendAt, arrivesAt time.Duration
 	leaseEnd          time.Duration
-	// stray commands are earlier attempts that arrive late and whose sender no longer waits for a response.
+	// stray is true for an earlier attempt that arrives late and whose sender no longer waits for a response.
 	stray bool
 }
 
 func newStorm(t *testing.T, seed uint64) *storm {
 	s := &storm{
-		cluster: newCluster(t, stormWorkers), rng: rand.New(rand.NewPCG(seed, 1)), fence: 1,
+		cluster: newCluster(t, stormWorkers), rng: rand.New(rand.NewPCG(seed, 1)), epoch: 1,
 		state: map[string]*stormWorker{}, runs: map[workload.TaskID][]*stormRun{},
 		cancelledAt: map[workload.JobID]time.Duration{},
 	}
@@ -143,10 +143,10 @@
 	}
 	plan := s.decide()
 	for i := range plan.Starts {
-		s.send(&stormCommand{fence: s.fence, start: &plan.Starts[i]})
+		s.send(&stormCommand{epoch: s.epoch, start: &plan.Starts[i]})
 	}
 	for i := range plan.Stops {
-		s.send(&stormCommand{fence: s.fence, stop: &plan.Stops[i]})
+		s.send(&stormCommand{epoch: s.epoch, stop: &plan.Stops[i]})
 	}
 }
 
@@ -216,7 +216,7 @@
 
 // replaceHolder replaces the schedule holder. Commands of the old one may still arrive.
 func (s *storm) replaceHolder() {
-	s.fence++
+	s.epoch++
 	for _, cmd := range s.commands {
 		cmd.stray = true
 	}
@@ -327,7 +327,7 @@
 	for _, cmd := range commands {
 		switch {
 		case cmd.arrivesAt == 0 && s.now >= cmd.sendAt:
-			if cmd.fence == s.fence && s.wants(cmd) {
+			if cmd.epoch == s.epoch && s.wants(cmd) {
 				s.transmit(cmd)
 			}
 		case cmd.arrivesAt == 0 || s.now < cmd.arrivesAt:
@@ -362,7 +362,7 @@
 		s.retry(cmd)
 		return
 	}
-	if !cmd.stray && cmd.fence == s.fence {
+	if !cmd.stray && cmd.epoch == s.epoch {
 		s.reportOutcome(id, cmd, outcome)
 	}
 }
@@ -391,23 +391,27 @@
 	return cmd.stop.Ref
 }
 
+// stormOutcome is a worker's response to a command.
 type stormOutcome int
 
 const (
 	outcomeDone stormOutcome = iota
+	// outcomeFenced means that the worker follows a holder with a higher epoch.
 	outcomeFenced
+	// outcomeStale means that the worker has ended the run or received a stop for it.
 	outcomeStale
 	outcomeNoRoom
+	// outcomeExpired means that the lease in the command had expired on arrival.
 	outcomeExpired
 )
 
 // execute executes a command on a worker as a real worker does.
 func (s *storm) execute(id string, cmd *stormCommand) stormOutcome {
 	w, state, ref := s.workers[id], s.state[id], cmd.ref()
-	if cmd.fence < state.fence {
+	if cmd.epoch < state.epoch {
 		return outcomeFenced
 	}
-	state.fence = cmd.fence
+	state.epoch = cmd.epoch
 	if cmd.stop != nil {
 		state.highestClosed[ref.Task] = max(state.highestClosed[ref.Task], ref.Run)
 		if w.running[ref] != nil {
@@ -506,7 +510,7 @@
 func (s *storm) renewAndList(id string) {
 	state := s.state[id]
 	if !s.partitioned(id) {
-		state.fence = max(state.fence, s.fence)
+		state.epoch = max(state.epoch, s.epoch)
 		state.leaseEnd = max(state.leaseEnd, s.grantLease(id))
 		state.goneReported = false
 		for _, end := range s.workers[id].ended {
@@ -544,8 +548,9 @@
 	329: "the same for a member of a gang that was done",
 }
 
-// TestStorm guards against runs that overlap, or start after their task is done, before a preceding step is done or beyond
-// MaxPerWorker, and against jobs that never end. Commands are lost and late, workers crash and holders change at random.
+// TestStorm guards against runs that overlap, or start after their task is done, before a preceding step is done, beyond
+// MaxPerWorker or after their job was cancelled, and against jobs that never end. Commands are lost and late, workers crash
+// and holders change at random.
 func TestStorm(t *testing.T) {
 	seeds := slices.Collect(maps.Keys(stormRegressions))
 	for seed := range *stormSeeds {
--- a/dispatch/units.go
+++ b/dispatch/units.go
@@ -21,6 +21,7 @@
 	return demand
 }
 
+// demand returns the resources that the run uses on its worker.
 func (p *placement) demand() resource.Resources {
 	if p.unit == nil {
 		return p.orphanDemand
@@ -28,7 +29,7 @@
 	return effectiveDemand(p.unit.step.spec)
 }
 
-// task returns the id of a member's task.
+// task returns the id of a member's task; member is 0 for a single task.
 func (u *unit) task(member int) workload.TaskID {
 	s := u.step
 	index := u.index
@@ -45,8 +46,8 @@
 	}
 }
 
-// live reports whether the placement belongs to a unit and is neither stopping nor finished.
-func (p *placement) live() bool { return p.unit != nil && !p.stopping && !p.finished }
+// live reports whether the placement belongs to a unit, is not being stopped, and is no member of a gang that is done.
+func (p *placement) live() bool { return p.unit != nil && !p.stopping && !p.gangDone }
 
 // attach counts the placement against its worker and account.
 func (c *Core) attach(p *placement) {
@@ -58,9 +59,10 @@
 	}
 	p.unit.placements = append(p.unit.placements, p)
 	p.unit.step.job.placements++
-	c.countAccount(p, 1)
+	c.adjustAccountUse(p, 1)
 }
 
+// detach reverts attach, and removes the worker if nothing is known of it any more.
 func (c *Core) detach(p *placement) {
 	if p.unit != nil && p.unit.step.job.queue.Priority == 0 {
 		p.worker.urgentEndedAt = c.now
@@ -70,12 +72,13 @@
 	if p.unit != nil {
 		p.unit.placements = slices.DeleteFunc(p.unit.placements, func(o *placement) bool { return o == p })
 		p.unit.step.job.placements--
-		c.countAccount(p, -1)
+		c.adjustAccountUse(p, -1)
 	}
 	c.removeIfUnused(p.worker)
 }
 
-func (c *Core) countAccount(p *placement, sign int) {
+// adjustAccountUse adds sign times the accelerators of a placement of priority 0 to its account's use.
+func (c *Core) adjustAccountUse(p *placement, sign int) {
 	j := p.unit.step.job
 	if j.queue.Priority == 0 {
 		c.accountUse[j.spec.Account] += sign * p.unit.step.spec.Demand.Accelerators
@@ -111,7 +114,7 @@
 	}
 }
 
-// stop issues a stop for a placement; its capacity stays in use until the worker lists the end.
+// stop issues a stop for a placement unless one was issued before. Its capacity stays in use until the worker lists the end.
 func (c *Core) stop(p *placement, reason string) {
 	if p.stopping {
 		return
@@ -121,13 +124,13 @@
 	c.resendStop(p)
 }
 
-// resendStop issues a stop for a placement whose worker may not have received an earlier one.
+// resendStop issues a stop for a placement even if one was issued before, which the worker may not have received.
 func (c *Core) resendStop(p *placement) {
 	p.stopSentAt = c.now
 	c.stops = append(c.stops, Stop{Ref: p.ref, Worker: p.worker.id, Reason: p.stopReason})
 }
 
-// StartAccepted records that the worker has or had the run.
+// StartAccepted records that the worker runs, or has ended, the run.
 func (c *Core) StartAccepted(workerID string, ref workload.RunRef) { c.confirm(workerID, ref) }
 
 // StopConfirmed records that the worker will not start the run any more.
@@ -154,6 +157,7 @@
 	c.placementLost(p, "start refused: "+reason)
 }
 
+// placement returns the placement of the run on the worker; nil if there is none.
 func (c *Core) placement(workerID string, ref workload.RunRef) *placement {
 	w := c.workers[workerID]
 	if w == nil {
@@ -181,7 +185,8 @@
 	c.afterPlacementGone(p.unit, string(end.Reason))
 }
 
-// applyUnknownEnd applies the listed end of a run that has no placement: it was given up, or its end was counted before.
+// applyUnknownEnd applies the listed end of a run that has no placement: the run was given up, or its end was counted
+// before.
 func (c *Core) applyUnknownEnd(end *workload.EndedRun) {
 	u := c.unitOf(end.Task)
 	if u == nil || end.Run > u.state.Run {
@@ -191,6 +196,7 @@
 	c.afterPlacementGone(u, string(end.Reason))
 }
 
+// unitOf returns the unit of the task; nil if its job or repetition is not known.
 func (c *Core) unitOf(t workload.TaskID) *unit {
 	j := c.jobs[t.Job]
 	if j == nil || t.Repetition >= len(j.repetitions) || t.Step >= len(j.spec.Steps) {
@@ -206,7 +212,7 @@
 	return s.units[t.Index]
 }
 
-// recordEnd updates the unit's state by the end of a run. The same end may be seen several times; a failure counts once
+// recordEnd updates the unit's state after the end of a run. The same end may be seen several times; a failure counts once
 // per run.
 func (c *Core) recordEnd(u *unit, end *workload.EndedRun) {
 	j := u.step.job
@@ -239,7 +245,7 @@
 	u.aborting = false
 	for _, p := range slices.Clone(u.placements) {
 		if u.size > 1 {
-			p.finished = true
+			p.gangDone = true
 			continue
 		}
 		c.stop(p, "task is done")
@@ -273,7 +279,7 @@
 	}
 }
 
-// afterPlacementGone aborts the unit's run, or removes its finished job, after one of its placements has been removed.
+// afterPlacementGone aborts the unit's run, or removes its ended job, after one of its placements has been removed.
 func (c *Core) afterPlacementGone(u *unit, reason string) {
 	j := u.step.job
 	defer c.removeIfFinished(j)
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -19,9 +19,11 @@
 	// reachable workers responded to the last request.
 	reachable bool
 	runs      map[workload.RunRef]*placement
-	used      resource.Resources
-	// claimed is the capacity that is claimed for waiting steps.
-	claimed     resource.Resources
+	// used is the capacity that the runs use.
+	used resource.Resources
+	// claimed is the capacity that is kept for waiting steps.
+	claimed resource.Resources
+	// incarnation is the worker's incarnation as of its latest listing; info may be of another one.
 	incarnation int64
 	// lastAppliedEnd is the highest sequence number of the ends of this incarnation that were applied.
 	lastAppliedEnd int64
@@ -30,11 +32,11 @@
 	clock time.Duration
 	// slowUntil is the end of the time in which a slow worker gets no work, probationUntil that of the probation after it.
 	slowUntil, probationUntil time.Duration
-	// urgentEndedAt is when urgent work last ended on the worker.
+	// urgentEndedAt is when work of priority 0 last ended on the worker; 0 if none has.
 	urgentEndedAt time.Duration
 }
 
-// workerOf returns the record of the worker, which may not be registered yet.
+// workerOf returns the record of the worker, which it creates if the worker is not known yet.
 func (c *Core) workerOf(id string) *worker {
 	if w := c.workers[id]; w != nil {
 		return w
@@ -62,7 +64,7 @@
 	w.slowUntil, w.probationUntil = 0, 0
 }
 
-// DropWorker records that the worker is no longer registered. Its runs are kept until its lease expires.
+// DropWorker records that the worker is no longer registered. Its runs are kept until they end or MarkWorkerGone is called.
 func (c *Core) DropWorker(id string) {
 	w := c.workers[id]
 	if w == nil {
@@ -72,7 +74,7 @@
 	c.removeIfUnused(w)
 }
 
-// SetReachable records whether the worker responds to requests.
+// SetReachable records whether the worker responded to the last request.
 func (c *Core) SetReachable(id string, reachable bool) {
 	if w := c.workers[id]; w != nil {
 		w.reachable = reachable
@@ -96,8 +98,8 @@
 	c.removeIfUnused(w)
 }
 
-// Unverified returns the ids of workers that have runs but have not listed them since this core took over.
-func (c *Core) Unverified() []string {
+// UnverifiedWorkers returns the ids of workers that have runs but have not listed them since this core took over.
+func (c *Core) UnverifiedWorkers() []string {
 	var ids []string
 	for _, w := range c.sortedWorkers {
 		if !w.listed && len(w.runs) > 0 {
@@ -136,8 +138,9 @@
 	)
 }
 
-// ApplyListing applies a worker's listing of its runs. sentAt is when the request for it was sent: a run whose start was
-// confirmed before that must be in the listing. It returns the highest sequence number of the ends that were applied.
+// ApplyListing applies a worker's listing of its runs. sentAt is when the request for it was sent, on the clock of Advance:
+// a run whose start was confirmed before that must be in the listing. It returns the highest sequence number of the ends of
+// the worker's incarnation that were applied; 0 if none was.
 func (c *Core) ApplyListing(id string, sentAt time.Duration, listing *workload.Listing) int64 {
 	w := c.workerOf(id)
 	if w.incarnation != listing.Incarnation {
@@ -205,7 +208,8 @@
 	c.stop(p, "unexpected run")
 }
 
-// handleAbsent handles a known run that is missing from its worker's listing.
+// handleAbsent handles a known run that is missing from its worker's listing. The run is lost if its start was confirmed
+// before the listing was requested.
 func (c *Core) handleAbsent(p *placement, sentAt time.Duration) {
 	if p.unverified {
 		c.handleAbsentAfterTakeover(p)
@@ -218,8 +222,8 @@
 }
 
 // handleAbsentAfterTakeover handles a restored run that did not reach its worker. Commands of the previous holder carry a
-// lower fencing token, which the worker rejects from now on. The start of a single task is sent again with the same run
-// number; a gang is restarted with a new run, as its members would no longer arrive together.
+// lower epoch, which the worker rejects from now on. The start of a single task is sent again with the same run number; a
+// gang is restarted with a new run, as its members would no longer arrive together.
 func (c *Core) handleAbsentAfterTakeover(p *placement) {
 	p.unverified = false
 	u := p.unit
@@ -237,10 +241,10 @@
 // stopped, or whose gang is done, must not be sent again: it could arrive before the stop.
 func (c *Core) WantsStart(workerID string, ref workload.RunRef) bool {
 	p := c.placement(workerID, ref)
-	return p != nil && !p.stopping && !p.finished
+	return p != nil && !p.stopping && !p.gangDone
 }
 
-// WantsStop reports whether the run is not known to have ended on the worker.
+// WantsStop reports whether the stop of the run may still be sent to the worker: the run is not known to have ended there.
 func (c *Core) WantsStop(workerID string, ref workload.RunRef) bool {
 	return c.placement(workerID, ref) != nil
 }
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -180,7 +180,7 @@
 	l.Follower.Subscribe(l.jobsChanged)
 	defer l.Follower.Subscribe(nil)
 	l.load()
-	l.logger.Info().Dur("took", boottime.Now()-l.startedAt).Int("unverified_workers", len(l.core.Unverified())).Msg("schedule taken")
+	l.logger.Info().Dur("took", boottime.Now()-l.startedAt).Int("unverified_workers", len(l.core.UnverifiedWorkers())).Msg("schedule taken")
 	l.goroutines.Add(1)
 	go func() {
 		defer l.goroutines.Done()
--- a/leader/workers.go
+++ b/leader/workers.go
@@ -38,7 +38,7 @@
 	if boottime.Now() < l.startedAt+l.earlierLeaseBound() {
 		return
 	}
-	for _, id := range c.Unverified() {
+	for _, id := range c.UnverifiedWorkers() {
 		if l.sessions[id] == nil {
 			c.MarkWorkerGone(id)
 		}
