--- a/leader/journal.go
+++ b/leader/journal.go
@@ -20,10 +20,11 @@
 	// journalTimeout bounds one hedged append, journalRetryInterval is the pause before it is retried.
 	journalTimeout       = time.Second
 	journalRetryInterval = 30 * time.Millisecond
-	// maxBatchBytes bounds the states of one append.
+	// maxBatchBytes bounds the size of the states of one append; one state may exceed it.
 	maxBatchBytes = 1 << 20
 	// unknownSequence is the sequence number of a holder's first attempt, which the store rejects with the number that it
-	// expects. It is above any real number, because the store treats an append with the number of a recent one as a repeat.
+	// expects. It is higher than any sequence number in use, because the store treats an append with the number of a recent
+	// one as a repeat.
 	unknownSequence = 1 << 40
 )
 
@@ -78,7 +79,8 @@
 	return n
 }
 
-// append appends the records and retries under the same sequence number until the outcome is known.
+// append appends the records and retries under the same sequence number until they are stored. It returns an error only if
+// another holder has taken over or ctx has ended.
 func (j *journal) append(ctx context.Context, records []store.Record) error {
 	// uncertain is true if an attempt under the current number may have been executed although its response was lost.
 	uncertain := false
@@ -120,6 +122,7 @@
 	return j.hedge.Append(ctx, j.log, store.States, records, producer, journalTimeout)
 }
 
+// stateRecords returns the records of the changed job states.
 func stateRecords(changes []dispatch.Change) []store.Record {
 	records := make([]store.Record, len(changes))
 	for i, change := range changes {
--- a/leader/journal_test.go
+++ b/leader/journal_test.go
@@ -25,8 +25,9 @@
 	return []store.Record{{Key: key, Value: []byte(value)}}
 }
 
-// TestSecondHolderContinuesTheNumbers guards against a new holder that mistakes a sequence error on its first append for a
-// repeat of a stored one: states that were not stored counted as stored, and completed tasks ran again.
+// TestSecondHolderContinuesTheNumbers guards against a new holder that mistakes a sequence error on its first append for
+// the sign that an earlier attempt was stored: states that were not stored counted as stored, and completed tasks ran again.
+// It also guards against an earlier holder that can still write.
 func TestSecondHolderContinuesTheNumbers(t *testing.T) {
 	log := storetest.New()
 	ctx := context.Background()
@@ -112,13 +113,13 @@
 }
 
 // TestJournalKeepsOrderUnderLostAnswers guards against a state that is lost, or overwritten by an older one, when responses
-// of the store are lost or requests are refused.
+// of the store are lost or requests are not executed.
 func TestJournalKeepsOrderUnderLostAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := storetest.New()
 		ctx := context.Background()
-		log.SetFault(func(call string) (error, bool) {
-			switch rapid.IntRange(0, 5).Draw(t, call) {
+		log.SetFault(func(request string) (error, bool) {
+			switch rapid.IntRange(0, 5).Draw(t, request) {
 			case 0:
 				return store.ErrUnknown, true
 			case 1:
@@ -150,12 +151,12 @@
 // halfResponding is a store that executes every append and responds only to every second one.
 type halfResponding struct {
 	*storetest.Fake
-	calls atomic.Int64
+	appends atomic.Int64
 }
 
 func (s *halfResponding) Append(ctx context.Context, stream store.Stream, records []store.Record, p *store.Producer, timeout time.Duration) error {
 	err := s.Fake.Append(ctx, stream, records, p, timeout)
-	if s.calls.Add(1)%2 == 0 {
+	if s.appends.Add(1)%2 == 0 {
 		return err
 	}
 	select {
@@ -166,7 +167,7 @@
 }
 
 // TestLostAnswersHoldUpTheJournalBriefly guards against a schedule that stalls for the whole timeout of each lost response,
-// and against appends that count as refused because an earlier attempt was executed.
+// and against appends that count as rejected because an earlier attempt was executed.
 func TestLostAnswersHoldUpTheJournalBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &halfResponding{Fake: storetest.New()}
@@ -185,7 +186,7 @@
 			t.Errorf("the store holds %q, want the last value appended", got)
 		}
 		if took := time.Since(startedAt); took > (appends+2)*150*time.Millisecond {
-			t.Errorf("%d appends with lost responses took %v", appends, took)
+			t.Errorf("%d appends with lost responses took %v, want at most 150ms each for two more appends", appends, took)
 		}
 	})
 }
--- a/leader/leader.go
+++ b/leader/leader.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// maxLease is the longest lease of a run. It must outlast a takeover; a lost worker ends its runs when it expires.
+	// maxLease is the longest lease of a worker's runs. It must be longer than a takeover takes, so that runs survive one; a
+	// worker that cannot be reached ends its runs when the lease expires.
 	maxLease = 6 * time.Second
 	// RenewalWithoutStore is how long leases are renewed after the store last confirmed that this VM holds the schedule.
 	// Runs survive an outage of the store of up to this time plus the lease. The next holder waits that long before it
@@ -24,8 +25,8 @@
 	RenewalWithoutStore = 4 * time.Second
 	// planInterval is the minimum time between two plans.
 	planInterval = 5 * time.Millisecond
-	// planPauseFactor bounds the share of processor time spent on planning: the next plan starts no earlier than this many
-	// times the duration of the last one after its start.
+	// planPauseFactor bounds the share of processor time spent on planning: the time between the starts of two plans is at
+	// least planPauseFactor times the duration of the first.
 	planPauseFactor = 4
 	// idleInterval is the maximum time between two plans.
 	idleInterval = 150 * time.Millisecond
@@ -43,6 +44,7 @@
 
 // Options configures a Leader.
 type Options struct {
+	// Epoch is the fencing token of all appends and requests to workers; it is higher than that of every earlier holder.
 	Epoch    int64
 	Log      store.Log
 	Hedge    *store.Hedge
@@ -52,7 +54,8 @@
 	// DecodeWorker decodes an entry of the worker list.
 	DecodeWorker    func(id string, text []byte) (workload.WorkerInfo, error)
 	DispatchOptions dispatch.Options
-	MaxLease        time.Duration
+	// MaxLease is the longest lease that workers grant.
+	MaxLease time.Duration
 	// HeartbeatInterval is the time between two updates of a worker's entry in the list.
 	HeartbeatInterval time.Duration
 	// StatusRetention is how long the state of an ended job must be readable.
@@ -69,14 +72,18 @@
 	lease     time.Duration
 	startedAt time.Duration
 
-	events     chan func(*dispatch.Core)
+	// events holds the events that wait for the loop.
+	events chan func(*dispatch.Core)
+	// cancel ends the context of Run, goroutines counts the goroutines that Run waits for.
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
-	ended      atomic.Bool
+	// ended is set once a newer holder is known or the loop has ended.
+	ended atomic.Bool
 
 	// The fields below are used only by the loop's goroutine.
-	core     *dispatch.Core
-	journal  *journal
+	core    *dispatch.Core
+	journal *journal
+	// sessions maps the id of each worker to its session.
 	sessions map[string]*session
 	// appendDone receives the result of the append in flight; nil when none is.
 	appendDone chan error
@@ -86,10 +93,12 @@
 	starts []dispatch.Start
 	// processedEnds holds the run ends that the core has processed and that the next append stores.
 	processedEnds map[*session]endMark
-	lastPlan      time.Duration
+	// lastPlan is the start of the last plan on the boot clock.
+	lastPlan time.Duration
 	// planPause is the time from the start of the last plan to the earliest next one.
 	planPause time.Duration
 
+	// configMu guards config.
 	configMu sync.Mutex
 	config   *workload.Config
 }
@@ -97,7 +106,8 @@
 // endMark holds the sequence number up to which the run ends of one incarnation of a worker were processed.
 type endMark struct{ incarnation, processed int64 }
 
-// effects holds what may be done once an append is stored: send the starts, and acknowledge the ends to the workers.
+// effects holds what may be done once an append is stored: send the starts, and acknowledge the processed run ends to the
+// workers.
 type effects struct {
 	starts    []dispatch.Start
 	processed map[*session]endMark
@@ -115,8 +125,8 @@
 	}
 }
 
-// earlierLeaseBound returns the time within which all leases expire that an earlier holder has granted, or may still grant
-// to workers that only it can reach.
+// earlierLeaseBound returns the time within which all leases expire, both those that an earlier holder has granted and
+// those that it may still grant to workers that only it can reach.
 func (l *Leader) earlierLeaseBound() time.Duration {
 	return RenewalWithoutStore + maxElapsed(l.lease)
 }
@@ -149,7 +159,8 @@
 	}
 }
 
-// stepDown ends the leader because a newer holder of the schedule exists; evidence says which component showed it.
+// stepDown ends the leader because a newer holder of the schedule exists; evidence names the component that detected it, for
+// the log.
 func (l *Leader) stepDown(evidence string) {
 	if l.ended.Swap(true) {
 		return
@@ -235,13 +246,14 @@
 	}
 }
 
+// decodeState returns the stored state of the job; nil if there is none or it cannot be decoded.
 func (l *Leader) decodeState(e joblog.Entry) *workload.JobState {
 	if e.State == nil {
 		return nil
 	}
 	state, err := workload.DecodeState(e.State)
 	if err != nil {
-		l.logger.Error().Err(err).Str("job", string(e.Job.ID)).Msg("stored job state cannot be decoded; the job starts over")
+		l.logger.Error().Err(err).Str("job", string(e.Job.ID)).Msg("stored job state cannot be decoded; the job starts again from the beginning")
 		return nil
 	}
 	return state
@@ -362,6 +374,8 @@
 	go func() { done <- l.journal.write(ctx, stateRecords(changes)) }()
 }
 
+// appendEnded processes the result of the append that was in flight. An error ends the leader, since the journal returns
+// one only if another holder has taken over or ctx has ended.
 func (l *Leader) appendEnded(ctx context.Context, err error) {
 	l.appendDone = nil
 	if err != nil {
@@ -396,7 +410,7 @@
 	l.processedEnds[s] = endMark{incarnation: s.currentIncarnation(), processed: processed}
 }
 
-// query evaluates predicate in the loop for another goroutine. It returns false once ctx has ended.
+// query evaluates predicate in the loop for another goroutine and returns its result; false once ctx has ended.
 func (l *Leader) query(ctx context.Context, predicate func(*dispatch.Core) bool) bool {
 	result := make(chan bool, 1)
 	l.enqueue(func(c *dispatch.Core) { result <- predicate(c) })
@@ -438,7 +452,8 @@
 }
 
 // deleteJobRecords deletes submissions and cancellations first and states last: a job whose submission is still stored but
-// whose state is gone would start over.
+// whose state is deleted would start again from the beginning. The error is that of the deletion of the states; if a
+// submission cannot be deleted, it logs that and returns nil.
 func (l *Leader) deleteJobRecords(ctx context.Context, ids []workload.JobID) error {
 	states := make([]store.Record, len(ids))
 	for i, id := range ids {
--- a/leader/leaseclock.go
+++ b/leader/leaseclock.go
@@ -8,6 +8,7 @@
 // leaseClock computes when the lease of a worker, and with it every run started there, has expired. Times are on the boot
 // clock, except untilMS and clockMS, which are milliseconds of the worker's clock.
 type leaseClock struct {
+	// lease is the length of a lease.
 	lease time.Duration
 	// clockKnown is true once the worker has reported its clock: clockMS at clockAt.
 	clockKnown bool
@@ -15,7 +16,7 @@
 	clockAt    time.Duration
 	// expiresAt is the latest time at which the longest lease sent expires.
 	expiresAt time.Duration
-	// untilMS is the expiry of the longest lease sent.
+	// untilMS is the expiry of the longest lease sent to the current incarnation; 0 if none was sent.
 	untilMS int64
 	// noResponse is true if the last request had no response. The renewal may still have arrived, so a retry with a later
 	// expiry would postpone expiresAt for as long as the worker does not respond.
@@ -29,8 +30,8 @@
 	return time.Duration(float64(d) / (1 - maxClockDrift))
 }
 
-// renew returns the expiry of a lease sent now, in milliseconds of the worker's clock; 0 while that clock is unknown. It
-// does not extend the lease after a request without response.
+// renew returns the expiry of a lease sent now, in milliseconds of the worker's clock; 0 while that clock is unknown. After a
+// request without response it returns the expiry of the longest lease again.
 func (l *leaseClock) renew(now time.Duration) int64 {
 	if !l.clockKnown || l.noResponse {
 		return l.untilMS
@@ -48,7 +49,7 @@
 		l.expiresAt = now + maxElapsed(l.lease)
 	}
 	if clockMS < l.clockMS {
-		// The clock of another incarnation, which started over.
+		// This is the clock of another incarnation, which starts at 0 again.
 		l.untilMS = 0
 	}
 	l.clockKnown = true
--- a/leader/leaseclock_test.go
+++ b/leader/leaseclock_test.go
@@ -7,8 +7,9 @@
 
 const testLease = 6 * time.Second
 
-// TestSilentWorkerIsGivenUp guards against renewals to a worker that is gone: each attempt postponed the expiry of its
-// lease, so its tasks were never started elsewhere.
+// TestSilentWorkerIsGivenUp guards against renewals to a worker that does not respond: each attempt postponed the expiry of
+// its lease, so its tasks were never started elsewhere. It also guards against a lease that counts as expired while the
+// worker may still hold it.
 func TestSilentWorkerIsGivenUp(t *testing.T) {
 	l := leaseClock{lease: testLease, expiresAt: 16 * time.Second}
 	l.recordResponse(time.Second, 500)
--- a/leader/metrics.go
+++ b/leader/metrics.go
@@ -16,8 +16,10 @@
 	timerPlan             = "schedule.plan.latency"
 )
 
+// count adds one to the counter.
 func count(name string) { metrics.GetOrRegisterCounter(name, metrics.DefaultRegistry).Inc(1) }
 
+// observe records a latency in the timer.
 func observe(name string, took time.Duration) {
 	metrics.GetOrRegisterTimer(name, metrics.DefaultRegistry).Update(took)
 }
--- a/leader/presence.go
+++ b/leader/presence.go
@@ -13,6 +13,7 @@
 // presence distinguishes workers that removed their own entry from workers that stopped sending heartbeats, by the time
 // between the last entry and its removal. Times are on the boot clock.
 type presence struct {
+	// interval is the time between two heartbeats of a worker.
 	interval time.Duration
 	// readAt is when the list was last read, seenAt when the newest entry of each worker was read.
 	readAt time.Duration
--- a/leader/presence_test.go
+++ b/leader/presence_test.go
@@ -6,7 +6,8 @@
 )
 
 // TestOnlyDeregisteredWorkersAreGoneAtOnce guards against tasks that wait for the lease of a worker that has ended its runs
-// and removed its entry, and against tasks that run twice because a worker without heartbeats counts as such a worker.
+// and removed its entry, and against tasks that run twice because a worker that only stopped sending heartbeats counts as
+// one that removed its entry.
 func TestOnlyDeregisteredWorkersAreGoneAtOnce(t *testing.T) {
 	heartbeat := 1500 * time.Millisecond
 	cases := []struct {
--- a/leader/session.go
+++ b/leader/session.go
@@ -31,7 +31,7 @@
 	requestRetryInterval = 50 * time.Millisecond
 	// maxStopBackoff bounds the pause between attempts of a stop request, in multiples of requestRetryInterval.
 	maxStopBackoff = 8
-	// maxUnhealthyAttempts is how often a start request is sent to a worker that reports itself unhealthy.
+	// maxUnhealthyAttempts is how often a start request is sent to a worker that reports that it is unhealthy.
 	maxUnhealthyAttempts = 3
 	// maxRequests is how many start and stop requests to one worker may be in flight at once.
 	maxRequests = 3
@@ -39,18 +39,19 @@
 
 // session manages one worker: it renews the lease, watches the worker's runs, and sends start and stop requests.
 type session struct {
-	id           string
-	address      string
-	conn         WorkerConn
-	leader       *Leader
-	logger       zerolog.Logger
-	ctx          context.Context
-	cancel       context.CancelFunc
+	id      string
+	address string
+	conn    WorkerConn
+	leader  *Leader
+	logger  zerolog.Logger
+	ctx     context.Context
+	cancel  context.CancelFunc
+	// requestSlots holds an element for each start or stop request in flight.
 	requestSlots chan struct{}
 
 	mu    sync.Mutex
 	lease leaseClock
-	// reportedGone is true if the worker was reported to the core as gone after its last response.
+	// reportedGone is true if the worker was reported to the core as gone and has not responded since.
 	reportedGone bool
 	// storedEnd is the sequence number up to which the ends of the current incarnation are stored.
 	storedEnd int64
@@ -60,6 +61,7 @@
 	incarnation int64
 }
 
+// newSession opens a session to the worker and starts to watch it.
 func (l *Leader) newSession(ctx context.Context, id, address string) *session {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &session{
@@ -89,7 +91,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, ErrStaleFence) {
+		if errors.Is(err, ErrStaleEpoch) {
 			s.leader.stepDown("worker " + s.id)
 			return
 		}
@@ -109,9 +111,9 @@
 
 // watchOnce sends one watch request and returns the listing and the time at which the request was sent. The first request
 // of a session or connection does not wait, and acknowledges no ends: it may reach another incarnation, which numbers its
-// ends from the start.
+// ends from 1 again.
 func (s *session) watchOnce(ctx context.Context, first bool) (*workload.Listing, time.Duration, error) {
-	request := WatchRequest{Fence: s.leader.Epoch, Wait: watchWait}
+	request := WatchRequest{Epoch: s.leader.Epoch, Wait: watchWait}
 	fresh := first || !s.conn.SameConnection()
 	s.mu.Lock()
 	if fresh {
@@ -169,8 +171,8 @@
 	})
 }
 
-// awaitStoredEnds waits up to unstoredEndsPause until the ends of the listing are stored: the next watch request would
-// only return them again before that.
+// awaitStoredEnds waits up to unstoredEndsPause until the ends of the listing are stored: before that, the next watch request
+// would only return them again.
 func (s *session) awaitStoredEnds(ctx context.Context, listing *workload.Listing) {
 	if len(listing.Ended) == 0 {
 		return
@@ -209,13 +211,15 @@
 	s.storedEndChanged = make(chan struct{})
 }
 
+// currentIncarnation returns the worker's incarnation as of its last response; 0 before the first one.
 func (s *session) currentIncarnation() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.incarnation
 }
 
-// start sends a start request until its outcome is known or the core no longer wants the run.
+// start sends a start request until its outcome is known or the core no longer wants the start. It abandons the start if the
+// address of the worker changes.
 func (s *session) start(ctx context.Context, planned dispatch.Start) {
 	s.requestSlots <- struct{}{}
 	defer func() { <-s.requestSlots }()
@@ -224,7 +228,7 @@
 	for attempt := 1; ctx.Err() == nil; attempt++ {
 		request := StartRequest{
 			Ref: planned.Ref, Specification: planned.Specification, Checkpoint: planned.Checkpoint,
-			LeaseUntilMS: s.leaseUntil(), Fence: s.leader.Epoch,
+			LeaseUntilMS: s.leaseUntil(), Epoch: s.leader.Epoch,
 		}
 		err := s.conn.Start(ctx, request, requestTimeout)
 		if s.reportStartOutcome(planned, err, attempt) {
@@ -247,7 +251,7 @@
 	switch {
 	case err == nil, errors.Is(err, ErrRunEnded):
 		s.leader.enqueue(func(c *dispatch.Core) { c.StartAccepted(s.id, ref) })
-	case errors.Is(err, ErrStaleFence):
+	case errors.Is(err, ErrStaleEpoch):
 		s.leader.stepDown("worker " + s.id)
 	case errors.Is(err, ErrNoResponse), errors.Is(err, ErrLeaseExpired):
 		return false
@@ -269,13 +273,14 @@
 	return true
 }
 
-// stop sends a stop request until the worker confirms it or the core no longer wants it.
+// stop sends a stop request until the worker confirms it or the core no longer wants it. It reports the stop as unconfirmed
+// if the address of the worker changes.
 func (s *session) stop(ctx context.Context, planned dispatch.Stop) {
 	s.requestSlots <- struct{}{}
 	defer func() { <-s.requestSlots }()
 	for attempt := 1; ctx.Err() == nil; attempt++ {
-		err := s.conn.Stop(ctx, StopRequest{Ref: planned.Ref, Fence: s.leader.Epoch}, requestTimeout)
-		if errors.Is(err, ErrStaleFence) {
+		err := s.conn.Stop(ctx, StopRequest{Ref: planned.Ref, Epoch: s.leader.Epoch}, requestTimeout)
+		if errors.Is(err, ErrStaleEpoch) {
 			s.leader.stepDown("worker " + s.id)
 			return
 		}
--- a/leader/worker.go
+++ b/leader/worker.go
@@ -21,17 +21,17 @@
 var (
 	// ErrNoResponse means that no usable response arrived; the request may be executed, now or seconds later.
 	ErrNoResponse = errors.New("leader: no response from the worker")
-	// ErrStaleFence means that the fencing token of the request is lower than the worker's.
-	ErrStaleFence = errors.New("leader: fencing token rejected: the worker follows a newer holder of the schedule")
-	// ErrRunEnded means that the worker has ended the run, or has refused to start it before.
+	// ErrStaleEpoch means that the worker has received a request with a higher epoch.
+	ErrStaleEpoch = errors.New("leader: epoch rejected: the worker follows a newer holder of the schedule")
+	// ErrRunEnded means that the worker has ended the run, or has rejected its start before.
 	ErrRunEnded = errors.New("leader: the worker has already ended this run")
 	// ErrLeaseExpired means that the lease in a start request had expired on arrival.
 	ErrLeaseExpired = errors.New("leader: the lease in the request expired before it arrived")
 	// ErrInsufficientResources means that the worker has too few free resources for the run.
 	ErrInsufficientResources = errors.New("leader: the worker has too few free resources")
-	// ErrUnhealthy means that the worker refuses all requests for now.
+	// ErrUnhealthy means that the worker rejects all requests for now.
 	ErrUnhealthy = errors.New("leader: the worker is not healthy")
-	// ErrOtherIncarnation means that the request was meant for a process that is gone.
+	// ErrOtherIncarnation means that the request was meant for a process that has ended.
 	ErrOtherIncarnation = errors.New("leader: another process runs at the worker's address")
 	// ErrInvalidRequest means that the worker cannot process the request.
 	ErrInvalidRequest = errors.New("leader: the worker rejected the request as invalid")
@@ -41,8 +41,8 @@
 type WatchRequest struct {
 	// LeaseUntilMS renews the lease until this time, in milliseconds of the worker's clock; 0 renews nothing.
 	LeaseUntilMS int64
-	// Fence is the fencing token, the epoch of the holder of the schedule.
-	Fence int64
+	// Epoch is the epoch of the holder of the schedule, which the worker uses as a fencing token.
+	Epoch int64
 	// StoredEnd is the sequence number up to which run ends are stored; the worker may discard those.
 	StoredEnd int64
 	// Wait is how long the worker may hold the request open until a run ends.
@@ -55,27 +55,33 @@
 	Specification string
 	Checkpoint    string
 	LeaseUntilMS  int64
-	Fence         int64
+	Epoch         int64
 }
 
 // StopRequest is a request to stop a run.
 type StopRequest struct {
 	Ref   workload.RunRef
-	Fence int64
+	Epoch int64
 }
 
-// WorkerConn sends requests to one worker. Watch must not be called concurrently; Start and Stop may. A refusal matches
-// one of the errors above. Start and Stop return an error that matches ErrNoResponse if no usable response arrived.
+// WorkerConn sends requests to one worker. Watch must not be called concurrently; Start and Stop may. If the worker rejects
+// a request, the error matches one of the errors above. Start and Stop return an error that matches ErrNoResponse if no
+// usable response arrived; Watch may return any other error then.
 type WorkerConn interface {
+	// Watch renews the lease of the worker's runs and returns its listing.
 	Watch(ctx context.Context, request WatchRequest, timeout time.Duration) (*workload.Listing, error)
 	// SameConnection reports whether the next Watch reaches the process that responded to the last one.
 	SameConnection() bool
+	// Start makes the worker start a run.
 	Start(ctx context.Context, request StartRequest, timeout time.Duration) error
+	// Stop makes the worker end a run, and keeps it from starting the run later.
 	Stop(ctx context.Context, request StopRequest, timeout time.Duration) error
+	// Close closes the connection of Watch.
 	Close()
 }
 
 // Workers opens connections to workers.
 type Workers interface {
+	// Connect returns a connection to the worker id at address (host:port).
 	Connect(id, address string) WorkerConn
 }
--- a/leader/workers.go
+++ b/leader/workers.go
@@ -11,8 +11,9 @@
 
 // workerList follows the worker list in the store.
 type workerList struct {
-	leader   *Leader
-	cursor   store.Cursor
+	leader *Leader
+	cursor store.Cursor
+	// known maps the id of each listed worker to its newest entry.
 	known    map[string]workload.WorkerInfo
 	presence presence
 }
@@ -107,6 +108,7 @@
 	})
 }
 
+// equalInfo reports whether two entries are equal apart from RemainingLife, which may change with every heartbeat.
 func equalInfo(a, b workload.WorkerInfo) bool {
 	if len(a.Labels) != len(b.Labels) {
 		return false
@@ -120,17 +122,17 @@
 		a.Draining == b.Draining && a.Incarnation == b.Incarnation && a.FailureDomain == b.FailureDomain
 }
 
-// remove removes a worker from the list. ended is true if the worker has ended all its runs.
-func (w *workerList) remove(id string, ended bool) {
+// remove removes a worker from the list. runsEnded is true if the worker is known to have ended all its runs.
+func (w *workerList) remove(id string, runsEnded bool) {
 	if _, known := w.known[id]; !known {
 		return
 	}
 	delete(w.known, id)
 	delete(w.presence.seenAt, id)
-	w.leader.logger.Info().Str("worker", id).Bool("ended", ended).Msg("worker left the list")
+	w.leader.logger.Info().Str("worker", id).Bool("ended", runsEnded).Msg("worker left the list")
 	w.leader.enqueue(func(c *dispatch.Core) {
 		c.DropWorker(id)
-		if ended {
+		if runsEnded {
 			c.MarkWorkerGone(id)
 		}
 	})
--- a/leader/workers_test.go
+++ b/leader/workers_test.go
@@ -30,14 +30,14 @@
 func (idleConn) Stop(context.Context, StopRequest, time.Duration) error   { return ErrNoResponse }
 func (idleConn) Close()                                                   {}
 
-// newTestLeader returns a leader whose loop does not run and that logs to out.
-func newTestLeader(t *testing.T, log store.Log, out *bytes.Buffer) *Leader {
+// newTestLeader returns a leader whose loop does not run and that logs to logged.
+func newTestLeader(t *testing.T, log store.Log, logged *bytes.Buffer) *Leader {
 	l := New(Options{
 		Epoch: 1, Log: log, Workers: idleWorkers{}, MaxLease: 10 * time.Second, HeartbeatInterval: 1500 * time.Millisecond,
 		DecodeWorker: func(id string, text []byte) (workload.WorkerInfo, error) {
 			return workload.WorkerInfo{ID: id, Address: "127.0.0.1:1", Draining: string(text) == "draining"}, nil
 		},
-		Logger: zerolog.New(out),
+		Logger: zerolog.New(logged),
 	}, &workload.Config{})
 	return l
 }
@@ -63,8 +63,8 @@
 	}
 	for _, c := range cases {
 		log := storetest.New()
-		var out bytes.Buffer
-		l := newTestLeader(t, log, &out)
+		var logged bytes.Buffer
+		l := newTestLeader(t, log, &logged)
 		list := workerList{leader: l, cursor: store.Cursor{Stream: store.Workers}, known: map[string]workload.WorkerInfo{}, presence: newPresence(l.HeartbeatInterval)}
 		putWorker(t, log, "w", "draining")
 		readList(t, &list)
@@ -75,8 +75,8 @@
 		}
 		putWorker(t, log, "w", "")
 		readList(t, &list)
-		if !strings.Contains(out.String(), c.want) {
-			t.Errorf("%s: want %s in log %s", c.name, c.want, out.String())
+		if !strings.Contains(logged.String(), c.want) {
+			t.Errorf("%s: want %s in log %s", c.name, c.want, logged.String())
 		}
 	}
 }
