--- a/workload/cluster.go
+++ b/workload/cluster.go
@@ -9,7 +9,8 @@
 
 // Queue is a queue to which callers submit jobs.
 type Queue struct {
-	Name       string
+	Name string
+	// Host and PathPrefix are the host name and the start of the path of the requests that belong to the queue.
 	Host       string
 	PathPrefix string
 	// Service is the service of the workers that run the queue's tasks.
@@ -18,9 +19,10 @@
 	Public bool
 	// Priority 0 is the highest; its jobs may preempt those of other priorities.
 	Priority int
-	// MaxFailedRuns is the number of failed runs of one task after which its job fails.
+	// MaxFailedRuns is the number of failed runs of one unit after which its job fails; long-running tasks have no limit.
 	MaxFailedRuns int
-	// SlackFactor times the job's critical path, plus Target, is the time within which callers want the job done.
+	// SlackFactor times the duration of the job's critical path, plus Target, is the time within which callers want the job
+	// to be done.
 	SlackFactor float64
 	Target      time.Duration
 }
@@ -32,7 +34,7 @@
 	GuaranteedAccelerators int
 }
 
-// RequestLimits are the limits on a caller's HTTP request.
+// RequestLimits are the limits on a caller's HTTP request. A limit of 0 is not set.
 type RequestLimits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -40,7 +42,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Config is one version of the configuration.
+// Config is one version of the configuration. A higher Version is newer.
 type Config struct {
 	Version  int64
 	Queues   []Queue
@@ -49,6 +51,7 @@
 	KeyAccounts map[string]string
 	Limits      RequestLimits
 
+	// queueByName and queuesByHost are built by Index; the hosts are in lower case.
 	queueByName  map[string]*Queue
 	queuesByHost map[string][]*Queue
 }
@@ -68,7 +71,8 @@
 // Queue returns the queue of that name; nil if there is none.
 func (c *Config) Queue(name string) *Queue { return c.queueByName[name] }
 
-// Match returns the queue of the host with the longest path prefix that matches path; nil if there is none.
+// Match returns the queue of the host, in any case of letters, with the longest path prefix that matches path; nil if there
+// is none.
 func (c *Config) Match(host, path string) *Queue {
 	var best *Queue
 	for _, q := range c.queuesByHost[strings.ToLower(host)] {
@@ -84,14 +88,17 @@
 
 // WorkerInfo describes a worker, as registered by the worker itself.
 type WorkerInfo struct {
-	ID      string
+	ID string
+	// Address is the host:port for requests to the worker.
 	Address string
+	// Service is the kind of the worker: tasks run only on workers of their queue's service.
 	Service string
 	// FailureDomain is the failure domain of the worker's VM.
 	FailureDomain string
-	Rack          string
-	Labels        []string
-	Capacity      resource.Resources
+	// Rack is empty if the worker names none.
+	Rack     string
+	Labels   []string
+	Capacity resource.Resources
 	// Draining workers finish their runs, get no new ones and then leave.
 	Draining bool
 	// RemainingLife is the least time until a draining worker leaves; 0 if unknown.
@@ -115,8 +122,9 @@
 
 // The reasons for the end of a run.
 const (
-	EndDone    EndReason = "done"
-	EndFailed  EndReason = "failed"
+	EndDone   EndReason = "done"
+	EndFailed EndReason = "failed"
+	// EndStopped means that the worker received a stop command for the run.
 	EndStopped EndReason = "stopped"
 	// EndLeaseExpired means that the lease of the worker's runs expired.
 	EndLeaseExpired EndReason = "lapsed"
@@ -126,7 +134,7 @@
 	EndGangNotStarted EndReason = "alone"
 )
 
-// RunRef identifies one run of a task.
+// RunRef identifies one run of a task. Run is the number of the run, which rises with each run of the task.
 type RunRef struct {
 	Task TaskID
 	Run  int64
@@ -135,6 +143,7 @@
 // RunningRun is a run that a worker lists as running.
 type RunningRun struct {
 	RunRef
+	// Checkpoint is the latest checkpoint; empty for none.
 	Checkpoint string
 	// Percent is the progress of the run, 0 to 100.
 	Percent int
@@ -143,14 +152,17 @@
 // EndedRun is a run that a worker lists as ended.
 type EndedRun struct {
 	RunRef
-	// Sequence numbers the ended runs of one incarnation, starting at 1.
-	Sequence   int64
-	Reason     EndReason
+	// Sequence is the number of the end among those of one incarnation, starting at 1.
+	Sequence int64
+	Reason   EndReason
+	// Checkpoint is the latest checkpoint; empty for none.
 	Checkpoint string
 }
 
-// Listing is a worker's report of its running runs and of those that have ended.
+// Listing is a worker's report of its running runs and of the ends that were not acknowledged before, in order of their
+// sequence numbers.
 type Listing struct {
+	// Incarnation is the start time of the worker's process in Unix milliseconds.
 	Incarnation int64
 	// ClockMS is the worker's monotonic clock in milliseconds.
 	ClockMS int64
--- a/workload/job.go
+++ b/workload/job.go
@@ -45,13 +45,14 @@
 	Speculative bool
 	// LongRunning tasks run until the job is cancelled.
 	LongRunning bool
-	// Image is the name of the image that the tasks run.
+	// Image is the name of the image that the tasks run; empty for none.
 	Image string
 	// LatencyTarget is the upper limit for the tail latency of a long-running task; 0 for none.
 	LatencyTarget time.Duration
 	// Filler tasks use only processor time that other tasks leave idle.
 	Filler bool
-	// MaxUnavailable is the largest number of long-running tasks that the scheduler itself may make unavailable at once.
+	// MaxUnavailable is the largest number of long-running tasks of the step that the scheduler itself may make unavailable
+	// at once.
 	MaxUnavailable int
 }
 
@@ -128,7 +129,7 @@
 	return errkind.New(errkind.BadInput, "correct the submission and submit it again", format, args...)
 }
 
-// TaskID identifies one task of one repetition of a step.
+// TaskID identifies one task of one repetition of a step. Repetition, Step and Index are counted from 0.
 type TaskID struct {
 	Job        JobID
 	Repetition int
--- a/workload/state.go
+++ b/workload/state.go
@@ -20,7 +20,7 @@
 
 var phaseNames = [...]string{"queued", "running", "completed", "failed", "cancelled"}
 
-// String returns the phase's name as used in log lines.
+// String returns the phase's name as used in log lines; phase(N) for an unknown phase.
 func (p Phase) String() string {
 	if int(p) < len(phaseNames) {
 		return phaseNames[p]
@@ -133,7 +133,7 @@
 	e.body = appendString(e.body, u.Checkpoint)
 }
 
-// worker returns the number of the name in the table, starting at 1; 0 stands for no worker.
+// worker returns the number of the name in the table, starting at 1; 0 stands for no worker. It adds a name that is missing.
 func (e *encoder) worker(name string) uint64 {
 	if name == "" {
 		return 0
@@ -152,7 +152,7 @@
 	return append(b, s...)
 }
 
-// DecodePhase returns the phase of an encoded state; errCorrupt if there is none.
+// DecodePhase returns the phase of an encoded state; errCorrupt if the header is invalid. It does not check the rest.
 func DecodePhase(b []byte) (Phase, error) {
 	if len(b) < 2 || b[0] != stateFormat || b[1] > byte(PhaseCancelled) {
 		return 0, errCorrupt
@@ -180,10 +180,12 @@
 	return s, nil
 }
 
+// decoder decodes the encoded state in rest.
 type decoder struct {
 	rest        []byte
 	workerNames []string
-	failed      bool
+	// failed is set if the encoding is corrupt. All further values are then without meaning.
+	failed bool
 }
 
 func (d *decoder) uint() uint64 {
--- a/workload/state_test.go
+++ b/workload/state_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestStateEncodingRoundTrips guards against a takeover that reads a different state from the one that was stored.
+// TestStateEncodingRoundTrips guards against a takeover that reads a state that differs from the one that was stored.
 func TestStateEncodingRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := drawState(t)
@@ -51,8 +51,8 @@
 	return step
 }
 
-// TestCorruptStateIsRejected guards against a VM that crashes on, or accepts as a state, bytes that are not an encoded
-// state, such as a record of another writer or a truncated one.
+// TestCorruptStateIsRejected guards against a VM that crashes on bytes that are no encoded state, such as a record of
+// another writer, or that accepts a truncated state.
 func TestCorruptStateIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
