--- a/node/configwatch.go
+++ b/node/configwatch.go
@@ -39,7 +39,8 @@
 	dependency telemetry.Dependency
 }
 
-// current returns the newest configuration, nil before the first one, and the time since it was last confirmed.
+// current returns the newest configuration, nil before the first one, and the time since it was last confirmed as the
+// newest. That time has no meaning before the first confirmation.
 func (w *configWatch) current() (*workload.Config, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,6 +62,7 @@
 	}
 }
 
+// read reads the records since the last read and applies them.
 func (w *configWatch) read(ctx context.Context) error {
 	update, err := w.cursor.Read(ctx, w.log, configLongPollWait)
 	if err != nil {
@@ -78,6 +80,7 @@
 	return nil
 }
 
+// confirm records that the current configuration is the newest as of startedAt on the boot clock.
 func (w *configWatch) confirm(startedAt time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/node/frontend.go
+++ b/node/frontend.go
@@ -18,20 +18,20 @@
 	refreshTimeout = 400 * time.Millisecond
 	// waitingMaxAge is the maximum age of the count of waiting jobs.
 	waitingMaxAge = time.Second
-	// defaultDeadline bounds a request without a deadline of its own.
+	// defaultDeadline bounds a request whose caller does not say how long it waits.
 	defaultDeadline = 3 * time.Second
 	// responseMargin is subtracted from the deadline to leave time for sending the response.
 	responseMargin = 100 * time.Millisecond
 )
 
-// Access is what a caller is authorized to use.
+// Access is what a caller is authorised to use.
 type Access struct {
 	Queue *workload.Queue
 	// Account is the client account of the key; empty on a public queue.
 	Account string
 	Limits  workload.RequestLimits
-	// ConfigVersion is the version of the configuration that the decision is based on, ConfigAge the time since that was
-	// last confirmed.
+	// ConfigVersion is the version of the configuration that the decision is based on, ConfigAge the time since this version
+	// was last confirmed as the newest.
 	ConfigVersion int64
 	ConfigAge     time.Duration
 }
@@ -65,8 +65,9 @@
 	return access, nil
 }
 
-// Submit stores a job. It returns nil once the job is accepted. An Unavailable or Overloaded error means that the job never
-// runs; after a DeadlineExceeded error it may run.
+// Submit stores a job with the queue and account of access. It returns nil once the job is accepted, also if a job with its
+// id was accepted before. After a BadInput or Unavailable error the job never runs; after a DeadlineExceeded error it may
+// run.
 func (n *Node) Submit(ctx context.Context, access Access, job *workload.Job) error {
 	job.Queue = access.Queue.Name
 	job.Service = access.Queue.Service
@@ -94,7 +95,8 @@
 		"the store has not answered for %d ms", access.ConfigAge.Milliseconds())
 }
 
-// writeError returns the caller's error for the outcome of a write. An unknown outcome is a success if the view has the job.
+// writeError returns the error to report for the outcome of a write; nil for a success. An unknown outcome of a submission
+// is a success if the view has the job; for a cancellation, id is empty.
 func (n *Node) writeError(id workload.JobID, err error) error {
 	if err == nil {
 		return nil
@@ -160,14 +162,15 @@
 	return n.writeError("", n.writer.Cancel(ctx, id))
 }
 
-// Waiting returns how many accepted jobs of the queue have not started.
+// Waiting returns how many accepted jobs of the queue have not started, as far as this VM knows.
 func (n *Node) Waiting(ctx context.Context, access Access) int {
 	// Without the store the last count is used; the follower logs the outage.
 	_ = n.refresh(ctx, waitingMaxAge, n.follower.Streams()...)
 	return n.view.Waiting(access.Queue.Name)
 }
 
-// Deadline returns the context of a request whose caller waits for another remaining; 0 if that is unknown.
+// Deadline returns the context of a request whose caller waits for another remaining; remaining is 0 if that is unknown. The
+// context ends before the caller gives up, to leave time for sending the response.
 func Deadline(ctx context.Context, remaining time.Duration) (context.Context, context.CancelFunc) {
 	if remaining <= 0 {
 		remaining = defaultDeadline
--- a/node/membership.go
+++ b/node/membership.go
@@ -21,7 +21,8 @@
 	joinInterval = 350 * time.Millisecond
 	// joinTimeout bounds one hedged renewal.
 	joinTimeout = 1200 * time.Millisecond
-	// standbySteps and standbyStep spread the times at which VMs try to take a vacant schedule.
+	// standbySteps and standbyStep spread the times at which VMs try to take a vacant schedule: over standbySteps multiples
+	// of standbyStep or of the latency of the store, whichever is longer.
 	standbySteps = 12
 	standbyStep  = 30 * time.Millisecond
 	// smallCPUShare is the share of a core below which smallCPUStandby is added to the standby delay of a VM.
@@ -31,30 +32,35 @@
 	leaveTimeout = 800 * time.Millisecond
 )
 
-// membership joins the group when the schedule is vacant and runs a leader while this VM holds the schedule.
+// membership joins the group when no VM holds the schedule and runs a leader while this VM holds it.
 //
 // Only the holder is a member of the group. The store reassigns a group's parts whenever a member joins or leaves, so with
 // permanent members every restart of a VM could move the schedule. The other VMs query the holder and join when there is
 // none.
 type membership struct {
-	node   *Node
+	node *Node
+	// member is the name of this process in the group.
 	member string
 
-	joined     bool
+	// joined is true from the first request to join until the release of the schedule.
+	joined bool
+	// generation is the group's generation as of the last response to a join; 0 for a new member.
 	generation int64
 	// vacantSince is when the schedule was first seen without a holder, on the boot clock; 0 while it has one.
 	vacantSince time.Duration
 	// confirmedAt is the start of the join that last confirmed that this VM holds the schedule, in nanoseconds on the boot
 	// clock.
-	confirmedAt  atomic.Int64
+	confirmedAt atomic.Int64
+	// leader is nil while this VM does not hold the schedule. leaderDone is closed when its Run has returned.
 	leader       *leader.Leader
 	cancelLeader context.CancelFunc
 	leaderDone   chan struct{}
 }
 
-// standbyDelay returns how long a VM waits before it joins the group of a vacant schedule. roundTrip is the latency of the
-// store: the delay is a multiple of at least that, chosen by the VM's name, so that two VMs rarely join at once. VMs with a
-// small share of a core wait longest, because the holder's work grows with the number of workers.
+// standbyDelay returns how long a VM waits before it joins the group of a vacant schedule. The delay is a multiple of the
+// latency of the store, roundTrip, or of standbyStep if that is longer. A hash of the VM's name chooses the factor, so that
+// two VMs rarely join at once. VMs with a small share of a core wait longest, because the holder's work grows with the
+// number of workers.
 func standbyDelay(vm string, cpuShare float64, roundTrip time.Duration) time.Duration {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(vm))
@@ -84,7 +90,8 @@
 	return joinInterval
 }
 
-// step renews the membership of the holder, or joins the group once the schedule was vacant for the standby delay.
+// step renews the membership if this VM has joined the group, and joins it once the schedule was vacant for the standby
+// delay.
 func (m *membership) step(ctx context.Context, config *workload.Config) {
 	if m.joined && !m.mayHaveExpired() {
 		m.join(ctx, config)
@@ -167,7 +174,7 @@
 	}
 }
 
-// release stops the leader and leaves the group.
+// release stops the leader and leaves the group. It has no effect if neither applies.
 func (m *membership) release(reason string) {
 	m.stopLeader(reason)
 	if !m.joined {
--- a/node/node.go
+++ b/node/node.go
@@ -39,8 +39,10 @@
 	writer   *joblog.Writer
 	hedge    store.Hedge
 
+	// leaderMu guards leader, which is nil while this VM does not hold the schedule.
 	leaderMu sync.Mutex
 	leader   *leader.Leader
+	// stopping is set once the shutdown has begun.
 	stopping atomic.Bool
 }
 
@@ -66,6 +68,7 @@
 	}
 }
 
+// setLeader makes configChanged pass new configurations to l; nil for no leader.
 func (n *Node) setLeader(l *leader.Leader) {
 	n.leaderMu.Lock()
 	defer n.leaderMu.Unlock()
@@ -75,8 +78,9 @@
 // Stopping reports whether the process is shutting down, so that callers' connections are closed after the next response.
 func (n *Node) Stopping() bool { return n.stopping.Load() }
 
-// Run serves until ctx ends, then shuts down gracefully. callers handles the requests of callers, readyPath is the path of
-// the balancer's health check. The error is BadInput if an address cannot be listened on, or Internal if a server fails.
+// Run serves until ctx ends, then shuts down gracefully and returns nil. callers handles the requests of callers, readyPath
+// is the path of the balancer's health check. The error is BadInput if the process cannot listen on an address, or Internal
+// if a server fails.
 func (n *Node) Run(ctx context.Context, callers http.Handler, readyPath string) error {
 	callerServer := &http.Server{Handler: callers, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	readyMux := http.NewServeMux()
@@ -155,6 +159,7 @@
 	}
 }
 
+// ready reports whether the VM can serve callers: it is not shutting down, and its configuration and view are recent.
 func (n *Node) ready() bool {
 	config, configAge := n.config.current()
 	viewAge, loaded := n.follower.Age()
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// access waits until the VM has loaded its view and accepts the test key.
+// access waits until the VM has loaded its view and accepts the test key, and returns the access of the key.
 func (v *vm) access() Access {
 	v.t.Helper()
 	var access Access
@@ -152,8 +152,8 @@
 
 // failAppends makes the store return err for every append without executing it.
 func failAppends(log *storetest.Fake, err error) {
-	log.SetFault(func(call string) (error, bool) {
-		if call == "append" {
+	log.SetFault(func(request string) (error, bool) {
+		if request == "append" {
 			return err, false
 		}
 		return nil, true
@@ -184,7 +184,7 @@
 		t.Fatalf("Submit returned %v, want unavailable", err)
 	}
 	if took := time.Since(startedAt); took > time.Second {
-		t.Fatalf("the refusal took %v", took)
+		t.Fatalf("the refusal took %v, want at most 1s", took)
 	}
 }
 
@@ -334,7 +334,7 @@
 	eventually(t, "the first VM has released the schedule", func() bool { return !first.holdsSchedule() })
 	time.Sleep(3 * joinInterval)
 	if !second.holdsSchedule() || first.holdsSchedule() {
-		t.Fatalf("after the reconnect the first VM holds the schedule: %v, the second: %v", first.holdsSchedule(), second.holdsSchedule())
+		t.Fatalf("after the reconnect the first VM holds the schedule: %v, the second: %v; want only the second", first.holdsSchedule(), second.holdsSchedule())
 	}
 }
 
--- a/node/options.go
+++ b/node/options.go
@@ -1,7 +1,7 @@
 // Package node runs the process of one VM: it serves callers' requests, follows the configuration and the jobs, takes part
 // in the group that decides which VM holds the schedule, and runs a leader while this VM holds it.
 //
-//   - frontend.go: authorization and callers' requests
+//   - frontend.go: authorisation and callers' requests
 //   - configwatch.go: the configuration and its age
 //   - membership.go: which VM holds the schedule
 //   - node.go: start and shutdown
@@ -33,9 +33,10 @@
 type Options struct {
 	Settings *vmsettings.Settings
 	Log      store.Log
-	Workers  leader.Workers
-	Decoder  Decoder
-	Logger   zerolog.Logger
+	// Workers connects the leader to workers.
+	Workers leader.Workers
+	Decoder Decoder
+	Logger  zerolog.Logger
 }
 
 func (o *Options) dispatchOptions() dispatch.Options {
@@ -43,9 +44,10 @@
 }
 
 const (
-	// revocationMargin is subtracted from the revocation bound for the time between a check and its effect.
+	// revocationMargin is subtracted from the bound on the revocation of keys, for the time between the check of a key and
+	// the end of its effect.
 	revocationMargin = 500 * time.Millisecond
 	// readyConfigAge is the age of the configuration above which the store counts as unreachable: the VM reports itself as
-	// not ready to the balancer and refers callers to other VMs.
+	// not ready to the balancer and tells callers to use another VM.
 	readyConfigAge = 1900 * time.Millisecond
 )
