--- a/joblog/follower.go
+++ b/joblog/follower.go
@@ -18,14 +18,14 @@
 }
 
 // NewFollower returns a follower that folds the records of log into view. Run starts it.
-func NewFollower(log store.Log, view *View, out zerolog.Logger) *Follower {
+func NewFollower(log store.Log, view *View, logger zerolog.Logger) *Follower {
 	f := &Follower{}
 	streams := []store.Stream{store.States}
 	for part := range IntakeParts {
 		streams = append(streams, store.Stream{Topic: store.TopicIntake, Part: part})
 	}
 	for _, stream := range streams {
-		f.readers = append(f.readers, newReader(log, stream, view, out))
+		f.readers = append(f.readers, newReader(log, stream, view, logger))
 	}
 	return f
 }
@@ -49,7 +49,8 @@
 }
 
 // Subscribe makes the follower read the intake without pause and call subscriber with the ids of the jobs whose intake
-// records were read. A nil subscriber ends the subscription.
+// records were read. Calls for different parts of the intake may be concurrent. Subscribe replaces an earlier subscriber; a
+// nil subscriber ends the subscription.
 func (f *Follower) Subscribe(subscriber func([]workload.JobID)) {
 	for _, r := range f.readers {
 		if r.stream.Topic != store.TopicIntake {
@@ -64,7 +65,7 @@
 	}
 }
 
-// Age returns the maximum age of the view; false before the first complete read of every stream.
+// Age returns the time since which the view may lack records; false before the first complete read of every stream.
 func (f *Follower) Age() (time.Duration, bool) {
 	oldest := boottime.Now()
 	for _, r := range f.readers {
--- a/joblog/joblog_test.go
+++ b/joblog/joblog_test.go
@@ -43,7 +43,7 @@
 		}
 		e, ok := v.Get("a")
 		if !ok || e.Phase != workload.PhaseCancelled || !e.Cancelled || !e.Job.AcceptedAt.Equal(job("a").AcceptedAt) {
-			t.Errorf("order %v: %+v, %v", order, e, ok)
+			t.Errorf("order %v: got %+v, known %v; want a cancelled job with its time of acceptance", order, e, ok)
 		}
 		if v.Waiting("q") != 0 {
 			t.Errorf("order %v: %d jobs wait, want 0", order, v.Waiting("q"))
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestFinalStateStays guards against an older state that revives an ended job, and against a late cancellation that turns a
-// completed job into a cancelled one.
+// TestFinalStateStays guards against an older state that revives an ended job, against a late cancellation that turns a
+// completed job into a cancelled one, and against tombstones that leave a job in the view.
 func TestFinalStateStays(t *testing.T) {
 	v := NewView()
 	for _, r := range []store.Record{submission(t, "a"), state("a", workload.PhaseCompleted), state("a", workload.PhaseRunning), CancelRecord("a"), submission(t, "a")} {
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestUnreadableRecordsAreCounted guards against a fold that stops at records of other writers.
+// TestUnreadableRecordsAreCounted guards against a view that stops at records of other writers, or takes them for jobs.
 func TestUnreadableRecordsAreCounted(t *testing.T) {
 	v := NewView()
 	for _, r := range []store.Record{{}, {Key: "x"}, {Key: "s/a", Value: []byte("junk")}, {Key: "j/a", Value: []byte{9}}, {Key: "z/a", Value: []byte{1}}} {
@@ -155,18 +155,18 @@
 	}
 	callers.Wait()
 	if n := appends.Load(); n > 60 {
-		t.Fatalf("%d appends for 200 callers", n)
+		t.Fatalf("%d appends for 200 callers, want at most 60", n)
 	}
 }
 
-// TestWriterTellsRefusedFromUnknown guards against a record that is reported as refused although it may be stored: after one
-// attempt of unknown outcome, a later refusal leaves the outcome unknown.
+// TestWriterTellsRefusedFromUnknown guards against a record that is reported as not executed although it may be stored:
+// after one attempt of unknown outcome, a later rejection leaves the outcome unknown.
 func TestWriterTellsRefusedFromUnknown(t *testing.T) {
 	log := storetest.New()
 	w := NewWriter(log, &store.Hedge{})
 	log.SetFault(func(string) (error, bool) { return store.ErrNotExecuted, false })
 	if err := w.Submit(t.Context(), job("a")); !errors.Is(err, store.ErrNotExecuted) || errors.Is(err, store.ErrUnknown) {
-		t.Errorf("refused: %v", err)
+		t.Errorf("rejected: got %v, want only ErrNotExecuted", err)
 	}
 	var calls atomic.Int64
 	log.SetFault(func(string) (error, bool) {
@@ -176,7 +176,7 @@
 		return store.ErrNotExecuted, false
 	})
 	if err := w.Submit(t.Context(), job("b")); !errors.Is(err, store.ErrUnknown) {
-		t.Errorf("unknown, then refused: %v", err)
+		t.Errorf("unknown, then rejected: got %v, want ErrUnknown", err)
 	}
 	calls.Store(0)
 	log.SetFault(func(string) (error, bool) {
@@ -186,7 +186,7 @@
 		return nil, true
 	})
 	if err := w.Submit(t.Context(), job("c")); err != nil {
-		t.Errorf("unknown, then stored: %v", err)
+		t.Errorf("unknown, then stored: got %v, want no error", err)
 	}
 }
 
@@ -208,6 +208,6 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
 	if err := w.Submit(ctx, job("a")); err != nil {
-		t.Errorf("3 appends without response and 5 refusals within half a second: %v", err)
+		t.Errorf("3 appends without response, then 5 rejections: got %v, want no error", err)
 	}
 }
--- a/joblog/reader.go
+++ b/joblog/reader.go
@@ -29,10 +29,10 @@
 	// cursor is used only by the goroutine of run.
 	cursor store.Cursor
 	view   *View
-	out    zerolog.Logger
+	logger zerolog.Logger
 	// wake ends the pause before the next read.
 	wake chan struct{}
-	// subscriber is called with the ids of changed jobs.
+	// subscriber is called with the ids of the jobs whose records were read; nil for none.
 	subscriber atomic.Pointer[func([]workload.JobID)]
 	dependency telemetry.Dependency
 
@@ -45,10 +45,10 @@
 	updated chan struct{}
 }
 
-func newReader(log store.Log, stream store.Stream, view *View, out zerolog.Logger) *reader {
+func newReader(log store.Log, stream store.Stream, view *View, logger zerolog.Logger) *reader {
 	return &reader{
 		log: log, stream: stream, cursor: store.Cursor{Stream: stream}, view: view,
-		out:     out.With().Stringer("stream", stream).Logger(),
+		logger:  logger.With().Stringer("stream", stream).Logger(),
 		wake:    make(chan struct{}, 1),
 		updated: make(chan struct{}),
 	}
@@ -61,7 +61,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		r.dependency.Observe(r.out, "store", err)
+		r.dependency.Observe(r.logger, "store", err)
 		switch {
 		case err != nil:
 			r.sleep(ctx, retryInterval)
@@ -90,6 +90,7 @@
 	}
 }
 
+// read reads the next records of the stream, applies them to the view and publishes the result.
 func (r *reader) read(ctx context.Context) error {
 	wait := time.Duration(0)
 	if r.subscriber.Load() != nil {
@@ -100,16 +101,17 @@
 		return err
 	}
 	if update.Expired {
-		r.out.Warn().Msg("records expired before they were read; the newest record of each key was loaded instead")
+		r.logger.Warn().Msg("records expired before they were read; the newest record of each key was loaded instead")
 	}
 	ids := r.apply(update.Records)
 	if update.Loaded {
-		r.out.Info().Int64("offset", update.Next).Int("records", len(ids)).Msg("records loaded")
+		r.logger.Info().Int64("offset", update.Next).Int("records", len(ids)).Msg("records loaded")
 	}
 	r.publish(update.StartedAt, update.Complete, ids)
 	return nil
 }
 
+// apply applies the records to the view and returns the ids of their jobs.
 func (r *reader) apply(records []store.Record) []workload.JobID {
 	ids := make([]workload.JobID, 0, len(records))
 	for _, record := range records {
@@ -136,7 +138,8 @@
 	}
 }
 
-// freshness returns the boot-clock time up to which the view is complete; false before the first complete read.
+// freshness returns the boot-clock time before which all records of the stream are in the view; false before the first
+// complete read.
 func (r *reader) freshness() (freshAt time.Duration, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/joblog/view.go
+++ b/joblog/view.go
@@ -1,9 +1,14 @@
 // Package joblog stores the records of jobs and keeps a view of all jobs on every VM.
 //
-// A job has up to three records, each under its own key, so that a repeated append overwrites itself. The submission and
-// the cancellation are in a part of the intake topic, which any VM writes before it responds to the caller. The parts share
-// the load: a part executes one append at a time, and each takes long on a slow store. The state is in the states topic,
-// which only the fenced holder of the schedule writes, so that callers' appends do not delay it.
+// A job has up to three records, each under its own key, so that a repeated append overwrites the first one with the same
+// value. The submission and the cancellation are in one part of the intake topic, to which any VM appends before it responds
+// to the caller. The parts share the load: a part executes one append at a time, and each takes long on a slow store. The
+// state is in the states topic, to which only the fenced holder of the schedule appends, so that callers' appends do not
+// delay it.
+//
+//   - view.go: the records and the view
+//   - follower.go, reader.go: reading the records into the view
+//   - writer.go: appends of submissions and cancellations
 package joblog
 
 import (
@@ -44,7 +49,7 @@
 	return mode
 }()
 
-// SubmissionRecord returns the record of a submission.
+// SubmissionRecord returns the record of a submission, or the error of its encoding.
 func SubmissionRecord(job *workload.Job) (store.Record, error) {
 	value, err := encoding.Marshal(job)
 	return store.Record{Key: keySubmission + string(job.ID), Value: value}, err
@@ -55,7 +60,7 @@
 	return store.Record{Key: keyCancel + string(id), Value: []byte{1}}
 }
 
-// StateRecord returns the record of a job's state.
+// StateRecord returns the record of a job's encoded state.
 func StateRecord(id workload.JobID, state []byte) store.Record {
 	return store.Record{Key: keyState + string(id), Value: state}
 }
@@ -85,14 +90,16 @@
 	job   *workload.Job
 	phase workload.Phase
 	state []byte
-	// cancelRequested is true if a caller has cancelled the job; it has no effect on a job that had ended before.
+	// cancelRequested is true if a caller has cancelled the job; it has no effect on a job whose phase is final.
 	cancelRequested bool
 }
 
+// cancelled reports whether the job was cancelled before it ended otherwise.
 func (e *entry) cancelled() bool {
 	return e.phase == workload.PhaseCancelled || e.cancelRequested && !e.phase.Final()
 }
 
+// export returns the entry as seen by users of the view.
 func (e *entry) export() Entry {
 	out := Entry{Job: e.job, Phase: e.phase, Cancelled: e.cancelled(), State: e.state}
 	if out.Cancelled {
@@ -105,7 +112,7 @@
 type View struct {
 	mu      sync.Mutex
 	entries map[workload.JobID]*entry
-	// waiting counts the accepted jobs of each queue that have not started.
+	// waiting maps the name of each queue to its number of accepted jobs that have not started and are not cancelled.
 	waiting map[string]int
 	// unreadable counts the records that could not be decoded.
 	unreadable int
@@ -116,8 +123,8 @@
 	return &View{entries: map[workload.JobID]*entry{}, waiting: map[string]int{}}
 }
 
-// Apply folds one record and returns the id of its job; empty if the key has no id. Records that cannot be decoded leave the
-// view unchanged and are counted by Unreadable.
+// Apply folds one record and returns the id of its job; empty if the key has no id. Records that cannot be decoded have no
+// effect except that Unreadable counts them.
 func (v *View) Apply(r store.Record) workload.JobID {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -144,7 +151,7 @@
 	return id
 }
 
-// fold applies a record to the entry of its job. It returns false if the record cannot be decoded.
+// fold applies a record to the entry of its job. It returns false if the record cannot be decoded. mu must be held.
 func (v *View) fold(e *entry, id workload.JobID, prefix string, r store.Record) bool {
 	switch prefix {
 	case keySubmission:
@@ -162,6 +169,7 @@
 	return false
 }
 
+// foldSubmission applies a submission unless the job has one already. It returns false if the record cannot be decoded.
 func (e *entry) foldSubmission(id workload.JobID, r store.Record) bool {
 	if e.job != nil {
 		return true
@@ -174,6 +182,7 @@
 	return true
 }
 
+// foldState applies a state unless the job has ended. It returns false if the record cannot be decoded.
 func (e *entry) foldState(r store.Record) bool {
 	phase, err := workload.DecodePhase(r.Value)
 	if err != nil {
@@ -187,7 +196,7 @@
 	return true
 }
 
-// adjustWaiting adds sign to the number of waiting jobs of the job's queue if the job waits.
+// adjustWaiting adds sign to the number of waiting jobs of the job's queue if the job waits. mu must be held.
 func (v *View) adjustWaiting(e *entry, sign int) {
 	if e.job != nil && e.phase == workload.PhaseQueued && !e.cancelled() {
 		v.waiting[e.job.Queue] += sign
@@ -205,7 +214,7 @@
 	return e.export(), true
 }
 
-// Waiting returns how many accepted jobs of the queue have not started.
+// Waiting returns how many accepted jobs of the queue have not started and are not cancelled.
 func (v *View) Waiting(queue string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/joblog/writer.go
+++ b/joblog/writer.go
@@ -13,13 +13,14 @@
 const (
 	// appendTimeout bounds one hedged append of callers' records.
 	appendTimeout = 1100 * time.Millisecond
-	// unknownRetryWindow is the time after the start of a write within which it is retried while its outcome is unknown.
-	// Callers wait for 3 s; a later attempt that takes appendTimeout would end after that.
+	// unknownRetryWindow is the time after the start of a write within which it is retried while its outcome is unknown. An
+	// attempt takes up to appendTimeout and callers wait for 3 s, so a later attempt could end too late.
 	unknownRetryWindow = 1800 * time.Millisecond
 	// appendRetryInterval is the pause before an append is retried.
 	appendRetryInterval = 60 * time.Millisecond
-	// maxRefusals is how often the store may refuse a write before its caller gets an error.
-	maxRefusals = 4
+	// maxRejections is the number of times that the store may reject a write without executing it; after that, the write
+	// fails.
+	maxRejections = 4
 	// maxInFlight is how many appends to a part may be in flight at once, so that one without a response does not delay the
 	// rest.
 	maxInFlight = 3
@@ -69,7 +70,8 @@
 	stream store.Stream
 	hedge  *store.Hedge
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// pending holds the writes that are in no append, inFlight is the number of appends in flight.
 	pending  []*write
 	inFlight int
 }
@@ -77,13 +79,14 @@
 // write is one caller's record that waits for its outcome.
 type write struct {
 	record store.Record
-	ctx    context.Context
+	// ctx is the context of the caller's request. Its end stops the retries, not an append in flight.
+	ctx context.Context
 	// uncertain is true if the write was part of an append of unknown outcome: it may be stored, now or later.
 	uncertain bool
-	// refused is how often the store has refused the write.
-	refused   int
-	startedAt time.Time
-	done      chan error
+	// rejections is the number of times that the store has rejected the write without executing it.
+	rejections int
+	startedAt  time.Time
+	done       chan error
 }
 
 // write stores the record and returns its outcome; see Writer.Submit.
@@ -133,6 +136,7 @@
 	w.dispatch()
 }
 
+// append makes one hedged append of the batch.
 func (w *partWriter) append(batch []*write) error {
 	records := make([]store.Record, len(batch))
 	for i, item := range batch {
@@ -142,7 +146,8 @@
 	return err
 }
 
-// deliverOutcomes sends the outcome to the callers of the writes that have one and returns the other writes.
+// deliverOutcomes sends the outcomes of the writes that have one after an append that returned err, and returns the other
+// writes.
 func deliverOutcomes(batch []*write, err error) []*write {
 	var unsettled []*write
 	for _, item := range batch {
@@ -155,18 +160,19 @@
 	return unsettled
 }
 
-// outcome returns the error for the caller after an append that returned err; false if the write has to be retried.
+// outcome returns the error of the write after an append that returned err, nil for a success; false if the write has to be
+// retried.
 func (i *write) outcome(err error) (error, bool) {
 	if err == nil {
 		return nil, true
 	}
 	if errors.Is(err, store.ErrNotExecuted) {
-		i.refused++
+		i.rejections++
 	} else {
 		i.uncertain = true
 	}
 	if i.uncertain {
 		return errors.Join(store.ErrUnknown, err), i.ctx.Err() != nil || time.Since(i.startedAt) > unknownRetryWindow
 	}
-	return err, i.ctx.Err() != nil || i.refused >= maxRefusals
+	return err, i.ctx.Err() != nil || i.rejections >= maxRejections
 }
