--- a/store/cursor.go
+++ b/store/cursor.go
@@ -8,10 +8,11 @@
 	"github.com/redwingthread/redwingthread/boottime"
 )
 
-// Cursor reads a stream: first the newest record of every key, then the records appended since. It starts over if records
-// expire before it has read them. It is not safe for concurrent use.
+// Cursor reads a stream: first the newest record of every key, then the records appended since. If records expire before it
+// has read them, it reads the newest record of every key again. It is not safe for concurrent use.
 type Cursor struct {
 	Stream Stream
+	// loaded is true once the newest records were read; next is the offset of the next read then.
 	loaded bool
 	next   int64
 }
@@ -25,7 +26,7 @@
 	Complete  bool
 	// Loaded is true if Records holds the newest record of every key; keys that are missing have been deleted.
 	Loaded bool
-	// Expired is true if the cursor had to start over.
+	// Expired is true if records expired before they were read, so that the newest record of every key was read instead.
 	Expired bool
 	// Next is the offset of the next read.
 	Next int64
@@ -54,7 +55,7 @@
 }
 
 // load reads the newest record of each key. The pages are read at different times, so the next read continues from the end
-// of the stream as of the first page and repeats records appended meanwhile.
+// of the stream as of the first page and returns records that were appended meanwhile again.
 func (c *Cursor) load(ctx context.Context, log Log) (*Update, error) {
 	update := &Update{StartedAt: boottime.Now(), Complete: true, Loaded: true}
 	after := ""
--- a/store/hedge.go
+++ b/store/hedge.go
@@ -12,21 +12,21 @@
 	// milliseconds. initialHedgeDelay is that time until the first response.
 	minHedgeDelay     = 100 * time.Millisecond
 	initialHedgeDelay = 400 * time.Millisecond
-	// hedgeFactor is the delay before a request is sent again, in multiples of the typical latency, so that a slow store
-	// does not get each request twice.
+	// hedgeFactor is the delay before a request is sent again, in multiples of the typical latency. It is above 1 so that a
+	// slow store does not get each request twice.
 	hedgeFactor = 3
 	// maxAttempts bounds the attempts of one request.
 	maxAttempts = 4
-	// latencyDecay is the weight of the newest response in the typical latency if it was faster than that.
+	// latencyDecay is the weight in the typical latency of a new response that is faster than it.
 	latencyDecay = 0.3
 )
 
 // Hedge sends idempotent requests again while earlier attempts have no response: the response of an executed request may be
-// lost, and waiting for the timeout would outlast a group membership. All callers of one store share a Hedge, which tracks
-// the latency of the store. The zero value is ready to use. It is safe for concurrent use.
+// lost, and waiting for the timeout would take longer than a group membership lasts. All users of one store share a Hedge,
+// which tracks the latency of the store. The zero value is ready to use. It is safe for concurrent use.
 type Hedge struct {
 	mu sync.Mutex
-	// typicalLatency rises at once with a slower response and decays with faster ones. It is valid once measured is set.
+	// typicalLatency rises at once to that of a slower response and decays with faster ones. It is valid once measured is set.
 	typicalLatency time.Duration
 	measured       bool
 }
@@ -92,8 +92,8 @@
 	return attempts, err
 }
 
-// lessCertain returns the error that claims less about the request: one attempt of unknown outcome makes the outcome of the
-// request unknown.
+// lessCertain returns the error that leaves more outcomes of the request possible: one attempt of unknown outcome makes the
+// outcome of the request unknown. a may be nil.
 func lessCertain(a, b error) error {
 	if a == nil || errors.Is(b, ErrUnknown) {
 		return b
--- a/store/hedge_test.go
+++ b/store/hedge_test.go
@@ -97,7 +97,7 @@
 			}
 		}
 		if took, _, _ := hedged(t, &h, response{0, errNoResponse}, response{4 * time.Millisecond, nil}); took > 200*time.Millisecond {
-			t.Errorf("a lost response delayed the request by %v", took)
+			t.Errorf("a lost response delayed the request by %v, want at most 200ms", took)
 		}
 	})
 }
--- a/store/store.go
+++ b/store/store.go
@@ -11,7 +11,7 @@
 
 // Errors of requests to the store.
 var (
-	// ErrNotExecuted means that the store refused the request or never received it; it had no effect and will have none.
+	// ErrNotExecuted means that the store rejected the request or never received it; it had no effect and will have none.
 	ErrNotExecuted = errors.New("store: the call was not executed")
 	// ErrUnknown means that no usable response arrived; the request may have been executed, or may be executed later.
 	ErrUnknown = errors.New("store: the outcome of the call is unknown")
@@ -74,7 +74,7 @@
 // String returns the topic and the part for log lines, separated by a slash.
 func (s Stream) String() string { return string(s.Topic) + "/" + strconv.Itoa(s.Part) }
 
-// Record is one record of a keyed topic. A record without value deletes its key.
+// Record is one record of a keyed topic. A record without value deletes its key. Offset is set by reads only.
 type Record struct {
 	Key    string
 	Value  []byte
@@ -88,8 +88,8 @@
 	Records    []Record
 }
 
-// Page is one page of the newest records of all keys. Pages are read at different times, so together they are no consistent
-// snapshot.
+// Page is one page of the newest records of all keys. Pages are read at different times, so together they do not form a
+// consistent snapshot.
 type Page struct {
 	Records []Record
 	// More is true if further pages follow.
@@ -98,7 +98,8 @@
 	End int64
 }
 
-// Producer identifies an append of a fenced writer. A higher epoch fences the lower ones.
+// Producer identifies an append of a fenced writer. Once the store has seen an epoch of a producer, it rejects appends with
+// lower ones. Sequence is the number of the append.
 type Producer struct {
 	Name     string
 	Epoch    int64
@@ -107,6 +108,7 @@
 
 // Assignment is the result of a group's assignment for one member.
 type Assignment struct {
+	// Generation is the number of the assignment, which rises with each reassignment.
 	Generation int64
 	// Holds is true if the member holds the group's only part.
 	Holds bool
@@ -117,11 +119,13 @@
 	// Append adds the records to the stream, all or none. producer may be nil. An append without records registers the
 	// producer's epoch.
 	Append(ctx context.Context, stream Stream, records []Record, producer *Producer, timeout time.Duration) error
-	// Read returns the records from offset from on; it waits up to wait for the first one.
+	// Read returns the records from offset from on; it waits up to wait for the first one. The error matches ErrExpired if
+	// from is before the first retained record.
 	Read(ctx context.Context, stream Stream, from int64, wait time.Duration) (*Batch, error)
-	// Newest returns a page of the newest records of the keys greater than after, in the order of keys.
+	// Newest returns a page of the newest records of the keys greater than after, in order of keys.
 	Newest(ctx context.Context, stream Stream, after string) (*Page, error)
-	// Join adds the member to the group, or keeps it there, for ttl.
+	// Join adds the member to the group, or keeps it there, for ttl. generation is that of the member's last assignment; 0 for
+	// a new member.
 	Join(ctx context.Context, group, member string, ttl time.Duration, generation int64) (Assignment, error)
 	// Leave removes the member from the group and releases its part.
 	Leave(ctx context.Context, group, member string, generation int64) error
--- a/store/storetest/fake.go
+++ b/store/storetest/fake.go
@@ -12,9 +12,10 @@
 	"github.com/redwingthread/redwingthread/store"
 )
 
-// Fault decides the outcome of a call: it returns the error of the call, nil for none, and whether the call is executed. An
-// error that matches store.ErrUnknown may be combined with execution.
-type Fault func(call string) (err error, execute bool)
+// Fault decides the outcome of a request: it returns the error of the request, nil for none, and whether the store executes
+// it. An error that matches store.ErrUnknown may be combined with execution. request is the name of the method of store.Log
+// in lower case.
+type Fault func(request string) (err error, execute bool)
 
 // Fake is an in-memory store. Its zero value is not usable; see New.
 type Fake struct {
@@ -27,7 +28,8 @@
 	changed chan struct{}
 	// PageSize is the maximum number of records in a page of Newest.
 	PageSize int
-	now      func() time.Time
+	// now returns the time at which memberships expire.
+	now func() time.Time
 }
 
 // streamData holds the retained records of a stream from offset first on, and the newest record of each key.
@@ -40,7 +42,8 @@
 // producer is the state of a fenced writer. As in the platform's store, an append without records raises the epoch and
 // leaves the sequence as it was. Repeats are detected by the sequence number alone, whichever epoch used it.
 type producer struct {
-	epoch  int64
+	epoch int64
+	// next is the sequence number that the store expects, recent holds those of the last appends.
 	next   int64
 	recent []int64
 }
@@ -48,10 +51,13 @@
 // recentAppends is the number of most recent appends whose repeats are detected.
 const recentAppends = 5
 
+// group is a group with one part.
 type group struct {
 	generation int64
-	holder     string
-	members    map[string]time.Time
+	// holder is the member that holds the part; empty for none.
+	holder string
+	// members maps each member to the end of its ttl.
+	members map[string]time.Time
 }
 
 // New returns an empty store.
@@ -66,25 +72,25 @@
 	}
 }
 
-// SetFault sets the fault of all later calls; nil removes it.
+// SetFault sets the fault of all later requests; nil removes it.
 func (f *Fake) SetFault(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = fault
 }
 
-// injectFault returns the outcome that the fault decides for a call.
-func (f *Fake) injectFault(call string) (error, bool) {
+// injectFault returns the outcome that the fault decides for a request.
+func (f *Fake) injectFault(request string) (error, bool) {
 	f.mu.Lock()
 	fault := f.fault
 	f.mu.Unlock()
 	if fault == nil {
 		return nil, true
 	}
-	return fault(call)
+	return fault(request)
 }
 
-// streamData returns the data of a stream, which it creates if needed.
+// streamData returns the data of a stream, which it creates if needed. mu must be held.
 func (f *Fake) streamData(stream store.Stream) *streamData {
 	t := f.byStream[stream]
 	if t == nil {
@@ -127,7 +133,7 @@
 }
 
 // checkProducer checks the epoch and the sequence number of a producer's append, and records them. repeat is true if there
-// is nothing to append.
+// is nothing to append: the append has no records or is a repeat. mu must be held.
 func (f *Fake) checkProducer(p *store.Producer, records int) (repeat bool, err error) {
 	state := f.producers[p.Name]
 	if state == nil {
@@ -245,7 +251,7 @@
 	return store.Assignment{Generation: g.generation, Holds: g.holder == member}, nil
 }
 
-// group returns the group after removing the members whose ttl has expired.
+// group returns the group after removing the members whose ttl has expired. mu must be held.
 func (f *Fake) group(name string) *group {
 	g := f.groups[name]
 	if g == nil {
@@ -262,8 +268,8 @@
 	return g
 }
 
-// assign gives the part to the first member by name if it has no holder or its holder is gone. Join clears the holder when a
-// new member joins, because the platform's store reassigns the parts then.
+// assign assigns the part to the first member by name if it has no holder or its holder is no longer a member. Join clears
+// the holder when a new member joins, because the platform's store reassigns the parts then. mu must be held.
 func (f *Fake) assign(g *group) {
 	if _, alive := g.members[g.holder]; alive {
 		return
@@ -292,7 +298,8 @@
 	return nil
 }
 
-// Rebalance reassigns the group's part, as the platform's store sometimes does spontaneously.
+// Rebalance starts a new generation and reassigns the group's part, as the platform's store does now and then without a
+// change of members.
 func (f *Fake) Rebalance(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -302,7 +309,7 @@
 	f.assign(g)
 }
 
-// Streams returns the streams that hold records.
+// Streams returns the streams to which requests were sent, in no particular order.
 func (f *Fake) Streams() (streams []store.Stream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
