--- a/leader/leader.go
+++ b/leader/leader.go
@@ -54,7 +54,7 @@
 	// DecodeWorker decodes an entry of the worker list.
 	DecodeWorker    func(id string, text []byte) (workload.WorkerInfo, error)
 	DispatchOptions dispatch.Options
-	// MaxLease is the longest lease that workers grant.
+	// MaxLease is the longest lease that workers accept.
 	MaxLease time.Duration
 	// HeartbeatInterval is the time between two updates of a worker's entry in the list.
 	HeartbeatInterval time.Duration
