--- a/vmsettings/settings.go
+++ b/vmsettings/settings.go
@@ -43,7 +43,7 @@
 	StrictRevocation bool
 	// HeartbeatInterval is the time between two updates of a worker's entry in the list.
 	HeartbeatInterval time.Duration
-	// MaxLease is the longest lease that workers grant.
+	// MaxLease is the longest lease that workers accept.
 	MaxLease time.Duration
 	// StopTimeout bounds the time between a stop request and the end of the run.
 	StopTimeout time.Duration
