--- a/node/node_test.go
+++ b/node/node_test.go
@@ -160,7 +160,7 @@
 	})
 }
 
-// TestUnknownOutcomeIsNoRefusal guards against a job that is reported as refused although it may be stored, because the
+// TestUnknownOutcomeIsNoRefusal guards against a job that is reported as not accepted although it may be stored, because the
 // store's response was lost.
 func TestUnknownOutcomeIsNoRefusal(t *testing.T) {
 	log, v := newConfiguredVM(t)
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestRefusedAppendFailsFast guards against callers that wait until their deadline although the store refuses the append.
-func TestRefusedAppendFailsFast(t *testing.T) {
+// TestRejectedAppendFailsFast guards against callers that wait until their deadline although the store rejects the append.
+func TestRejectedAppendFailsFast(t *testing.T) {
 	log, v := newConfiguredVM(t)
 	access := v.access()
 	failAppends(log, store.ErrNotExecuted)
@@ -184,7 +184,7 @@
 		t.Fatalf("Submit returned %v, want unavailable", err)
 	}
 	if took := time.Since(startedAt); took > time.Second {
-		t.Fatalf("the refusal took %v, want at most 1s", took)
+		t.Fatalf("the error took %v, want at most 1s", took)
 	}
 }
 
@@ -195,7 +195,7 @@
 	v.access()
 	log.SetFault(func(string) (error, bool) { return store.ErrUnknown, false })
 	v.Settings.Bounds.KeyRevocation = revocationMargin + 300*time.Millisecond
-	eventually(t, "the key is refused", func() bool {
+	eventually(t, "the key is rejected", func() bool {
 		_, err := v.Authorize(testHost, testPath, testKey)
 		return errkind.Is(err, errkind.Unavailable)
 	})
@@ -279,7 +279,7 @@
 	}
 }
 
-// TestRepeatedSubmissionIsOneJob guards against a repeated submission that is refused or creates a second job.
+// TestRepeatedSubmissionIsOneJob guards against a repeated submission that is rejected or creates a second job.
 func TestRepeatedSubmissionIsOneJob(t *testing.T) {
 	_, v := newConfiguredVM(t)
 	access := v.access()
