--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -175,8 +175,9 @@
 	stopReason string
 	// stopSentAt is when the stop command was last issued.
 	stopSentAt time.Duration
-	// gangDone placements belong to a gang that is done, but their own end has not been listed yet.
-	gangDone     bool
+	// gangDone is true if the gang of the placement is done but the end of this member has not been listed yet.
+	gangDone bool
+	// orphanDemand is the demand of a listed run that belongs to no unit; zero if its job is unknown.
 	orphanDemand resource.Resources
 
 	// percent is the latest listed progress, 0 to 100. percentAt is the worker's clock when that value was first listed;
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -28,7 +28,7 @@
 	// since the last success.
 	failedJob workload.JobID
 	failures  int
-	// quarantinedUntil is the end of the last quarantine; 0 if there was none.
+	// quarantinedUntil is the end of the last quarantine; 0 if there was none since the last success.
 	quarantinedUntil time.Duration
 }
 
--- a/dispatch/reclaim.go
+++ b/dispatch/reclaim.go
@@ -121,7 +121,7 @@
 }
 
 // reclaimSearch is the state of one search for a reclaimPlan. free is the capacity of each worker that is free after the
-// stops selected so far, missing the number of tasks that have no place yet.
+// stops and placements selected so far, missing the number of tasks that have no place yet.
 type reclaimSearch struct {
 	core    *Core
 	step    *step
--- a/dispatch/units.go
+++ b/dispatch/units.go
@@ -130,7 +130,7 @@
 	c.stops = append(c.stops, Stop{Ref: p.ref, Worker: p.worker.id, Reason: p.stopReason})
 }
 
-// StartAccepted records that the worker runs, or has ended, the run.
+// StartAccepted records that the worker has accepted the start or has ended the run.
 func (c *Core) StartAccepted(workerID string, ref workload.RunRef) { c.confirm(workerID, ref) }
 
 // StopConfirmed records that the worker will not start the run any more.
@@ -311,8 +311,8 @@
 	u.avoid[workerID]++
 }
 
-// AbandonStart gives up a start that the worker rejected after an earlier attempt without a response, which may still be
-// executed. It sends the worker a stop, so that the run cannot begin later.
+// AbandonStart gives up a start of which an earlier attempt may still be executed, because it had no response: the worker
+// has rejected a later attempt, or its address has changed. It issues a stop, so that the run cannot begin later.
 func (c *Core) AbandonStart(workerID string, ref workload.RunRef, reason string) {
 	p := c.placement(workerID, ref)
 	if p == nil || p.unit == nil || p.confirmedAt >= 0 {
--- a/leader/leaseclock.go
+++ b/leader/leaseclock.go
@@ -49,7 +49,7 @@
 		l.expiresAt = now + maxElapsed(l.lease)
 	}
 	if clockMS < l.clockMS {
-		// This is the clock of another incarnation, which starts at 0 again.
+		// This is the clock of another incarnation, which has another origin.
 		l.untilMS = 0
 	}
 	l.clockKnown = true
