--- a/dispatch/cluster_test.go
+++ b/dispatch/cluster_test.go
@@ -19,14 +19,15 @@
 	workers   map[string]*simWorker
 	// workerIDs holds the workers' ids in the order in which they were added.
 	workerIDs []string
-	// stored is the latest state of each job, as a store would hold it.
+	// stored is the latest encoded state of each job, as a store would hold it, and phases the phase in it.
 	stored map[workload.JobID][]byte
 	specs  map[workload.JobID]*workload.Job
 	phases map[workload.JobID]workload.Phase
 	// submitted and endedAt are the times at which each job was submitted and its final phase was stored.
 	submitted, endedAt map[workload.JobID]time.Duration
-	starts             []Start
-	stops              []Stop
+	// starts and stops hold the commands of all plans.
+	starts []Start
+	stops  []Stop
 }
 
 // simWorker is a simulated worker.
@@ -56,7 +57,7 @@
 		}
 	})
 	c := &cluster{
-		t: t, core: New(Params{StopTimeout: time.Second}),
+		t: t, core: New(Options{StopTimeout: time.Second}),
 		wallStart: time.Unix(1_700_000_000, 0), now: time.Hour,
 		workers: map[string]*simWorker{}, stored: map[workload.JobID][]byte{},
 		specs: map[workload.JobID]*workload.Job{}, phases: map[workload.JobID]workload.Phase{},
@@ -65,9 +66,9 @@
 	c.config = &workload.Config{
 		Version: 1,
 		Queues: []workload.Queue{
-			{Name: "urgent", Service: "svc", Priority: 0, MaxAttempts: 2, SlackFactor: 1.5, Target: 250 * time.Millisecond},
-			{Name: "normal", Service: "svc", Priority: 1, MaxAttempts: 3, SlackFactor: 3, Target: time.Second},
-			{Name: "batch", Service: "svc", Priority: 2, MaxAttempts: 2, SlackFactor: 3, Target: 3 * time.Second},
+			{Name: "urgent", Service: "svc", Priority: 0, MaxFailedRuns: 2, SlackFactor: 1.5, Target: 250 * time.Millisecond},
+			{Name: "normal", Service: "svc", Priority: 1, MaxFailedRuns: 3, SlackFactor: 3, Target: time.Second},
+			{Name: "batch", Service: "svc", Priority: 2, MaxFailedRuns: 2, SlackFactor: 3, Target: 3 * time.Second},
 		},
 		Accounts: []workload.Account{{Name: "large", GuaranteedAccelerators: 32}, {Name: "small", GuaranteedAccelerators: 8}},
 	}
@@ -226,7 +227,7 @@
 
 // takeOver replaces the core by a new one that knows only the stored states and the registered workers.
 func (c *cluster) takeOver() {
-	c.core = New(Params{StopTimeout: time.Second})
+	c.core = New(Options{StopTimeout: time.Second})
 	c.configureCore()
 	for _, id := range c.workerIDs {
 		c.core.SetWorker(c.workers[id].info)
--- a/joblog/reader.go
+++ b/joblog/reader.go
@@ -32,7 +32,7 @@
 	logger zerolog.Logger
 	// wake ends the pause before the next read.
 	wake chan struct{}
-	// subscriber is called with the ids of changed jobs.
+	// subscriber is called with the ids of the jobs whose records were read; nil for none.
 	subscriber atomic.Pointer[func([]workload.JobID)]
 	dependency telemetry.Dependency
 
@@ -90,6 +90,7 @@
 	}
 }
 
+// read reads the next records of the stream, applies them to the view and publishes the result.
 func (r *reader) read(ctx context.Context) error {
 	wait := time.Duration(0)
 	if r.subscriber.Load() != nil {
@@ -110,6 +111,7 @@
 	return nil
 }
 
+// apply applies the records to the view and returns the ids of their jobs.
 func (r *reader) apply(records []store.Record) []workload.JobID {
 	ids := make([]workload.JobID, 0, len(records))
 	for _, record := range records {
@@ -136,7 +138,8 @@
 	}
 }
 
-// freshness returns the boot-clock time up to which the view is complete; false before the first complete read.
+// freshness returns the boot-clock time before which all records of the stream are in the view; false before the first
+// complete read.
 func (r *reader) freshness() (freshAt time.Duration, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -38,7 +38,7 @@
 	}
 	config := &workload.Config{
 		Version:     stored.Version,
-		Queues:      []workload.Queue{{Name: "scan", Host: testHost, PathPrefix: "/scan/", Service: "svc", MaxAttempts: 2}},
+		Queues:      []workload.Queue{{Name: "scan", Host: testHost, PathPrefix: "/scan/", Service: "svc", MaxFailedRuns: 2}},
 		KeyAccounts: stored.Keys,
 	}
 	config.Index()
@@ -84,7 +84,7 @@
 	}
 }
 
-// access waits until the VM has loaded its view and accepts the test key.
+// access waits until the VM has loaded its view and accepts the test key, and returns the access of the key.
 func (v *vm) access() Access {
 	v.t.Helper()
 	var access Access
@@ -152,15 +152,15 @@
 
 // failAppends makes the store return err for every append without executing it.
 func failAppends(log *storetest.Fake, err error) {
-	log.SetFault(func(call string) (error, bool) {
-		if call == "append" {
+	log.SetFault(func(request string) (error, bool) {
+		if request == "append" {
 			return err, false
 		}
 		return nil, true
 	})
 }
 
-// TestUnknownOutcomeIsNoRefusal guards against a job that is reported as refused although it may be stored, because the
+// TestUnknownOutcomeIsNoRefusal guards against a job that is reported as not accepted although it may be stored, because the
 // store's response was lost.
 func TestUnknownOutcomeIsNoRefusal(t *testing.T) {
 	log, v := newConfiguredVM(t)
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestRefusedAppendFailsFast guards against callers that wait until their deadline although the store refuses the append.
-func TestRefusedAppendFailsFast(t *testing.T) {
+// TestRejectedAppendFailsFast guards against callers that wait until their deadline although the store rejects the append.
+func TestRejectedAppendFailsFast(t *testing.T) {
 	log, v := newConfiguredVM(t)
 	access := v.access()
 	failAppends(log, store.ErrNotExecuted)
@@ -184,7 +184,7 @@
 		t.Fatalf("Submit returned %v, want unavailable", err)
 	}
 	if took := time.Since(startedAt); took > time.Second {
-		t.Fatalf("the refusal took %v", took)
+		t.Fatalf("the error took %v, want at most 1s", took)
 	}
 }
 
@@ -195,7 +195,7 @@
 	v.access()
 	log.SetFault(func(string) (error, bool) { return store.ErrUnknown, false })
 	v.Settings.Bounds.KeyRevocation = revocationMargin + 300*time.Millisecond
-	eventually(t, "the key is refused", func() bool {
+	eventually(t, "the key is rejected", func() bool {
 		_, err := v.Authorize(testHost, testPath, testKey)
 		return errkind.Is(err, errkind.Unavailable)
 	})
@@ -279,7 +279,7 @@
 	}
 }
 
-// TestRepeatedSubmissionIsOneJob guards against a repeated submission that is refused or creates a second job.
+// TestRepeatedSubmissionIsOneJob guards against a repeated submission that is rejected or creates a second job.
 func TestRepeatedSubmissionIsOneJob(t *testing.T) {
 	_, v := newConfiguredVM(t)
 	access := v.access()
@@ -334,7 +334,7 @@
 	eventually(t, "the first VM has released the schedule", func() bool { return !first.holdsSchedule() })
 	time.Sleep(3 * joinInterval)
 	if !second.holdsSchedule() || first.holdsSchedule() {
-		t.Fatalf("after the reconnect the first VM holds the schedule: %v, the second: %v", first.holdsSchedule(), second.holdsSchedule())
+		t.Fatalf("after the reconnect the first VM holds the schedule: %v, the second: %v; want only the second", first.holdsSchedule(), second.holdsSchedule())
 	}
 }
 
