--- a/configlog/fake_test.go
+++ b/configlog/fake_test.go
@@ -184,7 +184,7 @@
 	return n.follower
 }
 
-// peerLink is the inner.Caller for requests from one node to another.
+// peerLink is the inner.Requester for requests from one node to another.
 type peerLink struct{ from, to *node }
 
 // Call returns the response of the other node's follower after a network delay. It blocks until ctx ends if the other
--- a/configlog/peer.go
+++ b/configlog/peer.go
@@ -11,11 +11,11 @@
 type innerPeer struct {
 	id      string
 	address string
-	caller  inner.Caller
+	caller  inner.Requester
 }
 
 // NewPeer returns the peer with the given id. address is the host:port of its inner protocol listener.
-func NewPeer(id, address string, caller inner.Caller) Peer {
+func NewPeer(id, address string, caller inner.Requester) Peer {
 	return &innerPeer{id: id, address: address, caller: caller}
 }
 
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -85,14 +85,14 @@
 	member := inner.Member{FailureDomain: failureDomain, VM: vm, Role: "gateway", Incarnation: incarnation, Address: vm}
 	n := &node{fixture: f, member: member, dead: make(chan struct{})}
 	o := Options{
-		Self:     member,
-		Config:   func() *config.Document { return f.doc },
-		Gateways: f.members,
-		Caller:   n,
-		Dial:     func(ctx context.Context, address string) (net.Conn, error) { return f.net.dial(ctx, vm, address) },
-		Seed:     7,
-		Log:      zerolog.Nop(),
-		Metrics:  metrics.NewRegistry(),
+		Self:          member,
+		Config:        func() *config.Document { return f.doc },
+		Gateways:      f.members,
+		PeerRequester: n,
+		Dial:          func(ctx context.Context, address string) (net.Conn, error) { return f.net.dial(ctx, vm, address) },
+		Seed:          7,
+		Log:           zerolog.Nop(),
+		Metrics:       metrics.NewRegistry(),
 	}
 	if change != nil {
 		change(&o)
@@ -142,7 +142,7 @@
 	f.net.kill(n.member.VM)
 }
 
-// Call implements inner.Caller over the in-memory network and its faults.
+// Call implements inner.Requester over the in-memory network and its faults.
 func (n *node) Call(ctx context.Context, address string, req *inner.Request) (*inner.Response, error) {
 	f := n.fixture
 	if err := f.net.deliver(ctx, n.member.VM, address); err != nil {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -39,7 +39,7 @@
 		if !ok {
 			break
 		}
-		response, callErr := g.options.Caller.Call(ctx, owner.Address, g.forwardMessage(ctx, c))
+		response, callErr := g.options.PeerRequester.Call(ctx, owner.Address, g.forwardMessage(ctx, c))
 		if callErr == nil && response.Forward != nil {
 			return fromForwardResponse(response.Forward)
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -25,7 +25,7 @@
 	"github.com/redwingthread/redwingthread/routing"
 )
 
-// Options configures a Gateway. Self, Config and Caller are required; other zero values select the defaults.
+// Options configures a Gateway. Self, Config and PeerRequester are required; other zero values select the defaults.
 type Options struct {
 	// Self names this gateway incarnation. Each restart must use a new incarnation.
 	Self inner.Member
@@ -33,8 +33,8 @@
 	Config func() *config.Document
 	// Gateways returns the live gateways of the deployment, with or without this one.
 	Gateways func() []inner.Member
-	// Caller sends requests to the gateways that issued keys.
-	Caller inner.Caller
+	// PeerRequester sends requests to the gateways that issued keys.
+	PeerRequester inner.Requester
 	// Dial opens connections to endpoints.
 	Dial endpoint.Dial
 	// Seed makes the choice of endpoints reproducible; 0 selects a random seed.
@@ -133,8 +133,8 @@
 // New returns a gateway that can serve requests at once. Run must be called for its periodic work. New returns an
 // Internal error if a required option is missing or the system has no random source.
 func New(o Options) (*Gateway, error) {
-	if o.Config == nil || o.Caller == nil || o.Self.VM == "" || o.Self.Incarnation == "" || o.Self.FailureDomain == "" {
-		return nil, errkind.New(errkind.Internal, "set Self, Config and Caller", "gateway options are incomplete")
+	if o.Config == nil || o.PeerRequester == nil || o.Self.VM == "" || o.Self.Incarnation == "" || o.Self.FailureDomain == "" {
+		return nil, errkind.New(errkind.Internal, "set Self, Config and PeerRequester", "gateway options are incomplete")
 	}
 	o.setDefaults()
 	secret := make([]byte, 32)
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -39,12 +39,12 @@
 			"e": {FailureDomain: "fd-0", Address: target.Addr().String(), Slots: 32, MaxConnections: 256}}}},
 	}
 	g, err := New(Options{
-		Self:         inner.Member{FailureDomain: "fd-0", VM: "vm-0", Incarnation: "i"},
-		Config:       func() *config.Document { return doc },
-		Caller:       &node{},
-		ReactionTime: 200 * time.Millisecond,
-		Listener:     limits,
-		Log:          zerolog.New(io.Discard),
+		Self:          inner.Member{FailureDomain: "fd-0", VM: "vm-0", Incarnation: "i"},
+		Config:        func() *config.Document { return doc },
+		PeerRequester: &node{},
+		ReactionTime:  200 * time.Millisecond,
+		Listener:      limits,
+		Log:           zerolog.New(io.Discard),
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/inner/messages.go
+++ b/inner/messages.go
@@ -154,8 +154,9 @@
 	Handle(ctx context.Context, from Member, req *Request) (*Response, error)
 }
 
-// Caller sends a request to the peer at address (host:port). After an error the peer may or may not have handled the
-// request.
-type Caller interface {
+// Requester sends requests to peers.
+type Requester interface {
+	// Call sends req to the peer at address (host:port) and returns its response. After an error the peer may or may not
+	// have handled the request.
 	Call(ctx context.Context, address string, req *Request) (*Response, error)
 }
--- a/jobs/jobquery/jobquery.go
+++ b/jobs/jobquery/jobquery.go
@@ -15,9 +15,9 @@
 // schedulerTimeout bounds the request to one scheduler, so that time for the others is left if it does not respond.
 const schedulerTimeout = 400 * time.Millisecond
 
-// Querier implements jobs.Querier over inner.Caller.
+// Querier implements jobs.Querier over inner.Requester.
 type Querier struct {
-	caller    inner.Caller
+	caller    inner.Requester
 	addresses func(failureDomain string) []string
 }
 
@@ -25,7 +25,7 @@
 
 // New returns a Querier. addresses returns the inner protocol addresses of the schedulers of a failure domain, starting with
 // the one that is believed to be active.
-func New(caller inner.Caller, addresses func(failureDomain string) []string) *Querier {
+func New(caller inner.Requester, addresses func(failureDomain string) []string) *Querier {
 	return &Querier{caller: caller, addresses: addresses}
 }
 
--- a/jobs/service.go
+++ b/jobs/service.go
@@ -32,7 +32,7 @@
 	Wake bool
 }
 
-// Querier queries the schedulers of a failure domain. Package jobs/jobquery implements it over inner.Caller.
+// Querier queries the schedulers of a failure domain. Package jobs/jobquery implements it over inner.Requester.
 type Querier interface {
 	// Query returns the statuses known to a scheduler. active is false if they come from a standby, which knows no placements.
 	Query(ctx context.Context, failureDomain string, q Query) (statuses []Status, active bool, err error)
