--- a/daemon/base.go
+++ b/daemon/base.go
@@ -24,7 +24,7 @@
 	log       zerolog.Logger
 	keys      *inner.KeyStore
 	mux       *Mux
-	node      *Node
+	members   *Membership
 	logClient infra.Log
 	follower  *configlog.Follower
 
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b.node = NewNode(Options{
+	b.members = NewMembership(MembershipOptions{
 		Self:          self,
 		Seeds:         seedMembers(common, self.Role),
 		Keys:          b.keys,
@@ -79,7 +79,7 @@
 	}, b.mux)
 	b.follower = configlog.NewFollower(configlog.Settings{
 		Log:         b.logClient,
-		Peers:       b.node.configPeers,
+		Peers:       b.members.configPeers,
 		Logger:      log,
 		Retention:   configlog.Retention{Period: milliseconds(common.Platform.RetentionMS)},
 		CallTimeout: milliseconds(common.Platform.TimeoutMS),
@@ -143,7 +143,7 @@
 	})
 	go b.follower.Run(ctx)
 	go b.logConfigVersions(ctx)
-	go b.node.Run(ctx)
+	go b.members.Run(ctx)
 }
 
 // logConfigVersions logs each configuration version that comes into force, until ctx ends.
@@ -165,7 +165,7 @@
 func (b *base) close(ctx context.Context) {
 	b.innerServer.Close(ctx)
 	b.metricsServer.Shutdown(ctx)
-	b.node.Client().Close()
+	b.members.Client().Close()
 	flushCtx, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
 	defer cancel()
 	if err := b.flushSpans(flushCtx); err != nil {
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -91,8 +91,8 @@
 	return gateway.Options{
 		Self:          d.base.self,
 		Config:        d.base.follower.Document,
-		Gateways:      d.base.node.liveGateways,
-		PeerRequester: d.base.node.Client(),
+		Gateways:      d.base.members.liveGateways,
+		PeerRequester: d.base.members.Client(),
 		Log:           d.log,
 		Keys:          keys,
 		Queue:         queue,
@@ -109,7 +109,7 @@
 
 // openOperatorAPI opens the operator listener.
 func (d *gatewayDaemon) openOperatorAPI() error {
-	querier := jobquery.New(d.base.node.Client(), d.base.node.schedulerAddresses)
+	querier := jobquery.New(d.base.members.Client(), d.base.members.schedulerAddresses)
 	service, err := jobs.NewService(jobs.ServiceOptions{Log: d.base.logClient, Config: d.base.follower.Document,
 		Querier: querier})
 	if err != nil {
@@ -118,7 +118,7 @@
 	api := operatorapi.New(operatorapi.Settings{
 		Configuration:        d.base.follower,
 		Jobs:                 jobsAdapter{service},
-		Peers:                peerView{node: d.base.node, follower: d.base.follower},
+		Peers:                peerView{members: d.base.members, follower: d.base.follower},
 		Logger:               d.log,
 		BootstrapTokenDigest: d.settings.Bootstrap.OperatorTokenDigest,
 		MaxBodyBytes:         d.settings.Limits.MaxBodyBytes,
@@ -177,7 +177,7 @@
 		}
 		announced = leaving
 		if unannounced {
-			d.base.node.ExpediteGateways()
+			d.base.members.ExpediteGateways()
 		}
 	}
 }
--- a/daemon/node.go
+++ b/daemon/membership.go
@@ -27,8 +27,8 @@
 	vmListInterval = 2 * time.Second
 )
 
-// Options configures a Node.
-type Options struct {
+// MembershipOptions configures a Membership.
+type MembershipOptions struct {
 	// Self is the daemon's own member, with its incarnation.
 	Self inner.Member
 	// Seeds are the members named in the settings.
@@ -51,10 +51,10 @@
 	return member
 }
 
-// Node keeps a daemon's membership table up to date by heartbeats with peers and the platform's list of VMs. It is safe
-// for concurrent use.
-type Node struct {
-	options Options
+// Membership keeps a daemon's membership table up to date by heartbeats with peers and by the platform's list of VMs. It
+// is safe for concurrent use.
+type Membership struct {
+	options MembershipOptions
 	client  *inner.Client
 	mux     *Mux
 
@@ -66,9 +66,9 @@
 	wake chan struct{}
 }
 
-// NewNode returns a node and registers its heartbeat handler with mux.
-func NewNode(options Options, mux *Mux) *Node {
-	n := &Node{
+// NewMembership returns a Membership and registers its heartbeat handler with mux.
+func NewMembership(options MembershipOptions, mux *Mux) *Membership {
+	m := &Membership{
 		options: options,
 		client:  inner.NewClient(options.Keys),
 		mux:     mux,
@@ -77,39 +77,39 @@
 	}
 	now := time.Now()
 	for _, seed := range options.Seeds {
-		n.table.AddSeed(seed, now)
+		m.table.AddSeed(seed, now)
 	}
-	mux.Heartbeat = n.handleHeartbeat
-	return n
+	mux.Heartbeat = m.handleHeartbeat
+	return m
 }
 
 // Client returns the client for requests to peers.
-func (n *Node) Client() *inner.Client { return n.client }
+func (m *Membership) Client() *inner.Client { return m.client }
 
 // Self returns the daemon's own member.
-func (n *Node) Self() inner.Member { return n.options.Self }
+func (m *Membership) Self() inner.Member { return m.options.Self }
 
 // Run sends heartbeats and reads the list of VMs until ctx ends.
-func (n *Node) Run(ctx context.Context) {
-	go n.pollVMList(ctx)
+func (m *Membership) Run(ctx context.Context) {
+	go m.pollVMList(ctx)
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		n.sendDueHeartbeats(ctx)
+		m.sendDueHeartbeats(ctx)
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-n.wake:
+		case <-m.wake:
 		}
 	}
 }
 
 // Live returns the live members of a role, without this process.
-func (n *Node) Live(role string) []membership.Peer {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.table.Live(role, time.Now())
+func (m *Membership) Live(role string) []membership.Peer {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.table.Live(role, time.Now())
 }
 
 // PeerState is a known member with its liveness.
@@ -119,106 +119,106 @@
 }
 
 // Peers returns every known member.
-func (n *Node) Peers() []PeerState {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (m *Membership) Peers() []PeerState {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
 	var states []PeerState
-	for _, peer := range n.table.All() {
-		states = append(states, PeerState{Peer: peer, Live: n.table.IsLive(peer, now)})
+	for _, peer := range m.table.All() {
+		states = append(states, PeerState{Peer: peer, Live: m.table.IsLive(peer, now)})
 	}
 	return states
 }
 
 // ExpediteGateways sends a heartbeat to every gateway without waiting for its interval.
-func (n *Node) ExpediteGateways() {
-	n.mu.Lock()
-	n.table.ExpediteGateways()
-	n.mu.Unlock()
+func (m *Membership) ExpediteGateways() {
+	m.mu.Lock()
+	m.table.ExpediteGateways()
+	m.mu.Unlock()
 	select {
-	case n.wake <- struct{}{}:
+	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
 // heartbeat returns the daemon's current state as a heartbeat.
-func (n *Node) heartbeat() *inner.Heartbeat {
-	heartbeat := &inner.Heartbeat{Member: n.options.Self}
-	n.mu.Lock()
-	heartbeat.Leaving = n.table.SelfLeaving()
-	if n.options.Self.Role == membership.RoleGateway {
-		heartbeat.Relayed = n.table.Relay(time.Now())
+func (m *Membership) heartbeat() *inner.Heartbeat {
+	heartbeat := &inner.Heartbeat{Member: m.options.Self}
+	m.mu.Lock()
+	heartbeat.Leaving = m.table.SelfLeaving()
+	if m.options.Self.Role == membership.RoleGateway {
+		heartbeat.Relayed = m.table.Relay(time.Now())
 	}
-	n.mu.Unlock()
-	n.options.FillHeartbeat(heartbeat)
+	m.mu.Unlock()
+	m.options.FillHeartbeat(heartbeat)
 	return heartbeat
 }
 
-func (n *Node) sendDueHeartbeats(ctx context.Context) {
-	n.mu.Lock()
-	due := n.table.Due(time.Now())
-	n.mu.Unlock()
+func (m *Membership) sendDueHeartbeats(ctx context.Context) {
+	m.mu.Lock()
+	due := m.table.Due(time.Now())
+	m.mu.Unlock()
 	if len(due) == 0 {
 		return
 	}
-	request := &inner.Request{Heartbeat: n.heartbeat()}
+	request := &inner.Request{Heartbeat: m.heartbeat()}
 	for _, member := range due {
-		go n.sendHeartbeat(ctx, member, request)
+		go m.sendHeartbeat(ctx, member, request)
 	}
 }
 
-func (n *Node) sendHeartbeat(ctx context.Context, member inner.Member, request *inner.Request) {
+func (m *Membership) sendHeartbeat(ctx context.Context, member inner.Member, request *inner.Request) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	resp, err := n.client.Call(ctx, member.Address, request)
+	resp, err := m.client.Call(ctx, member.Address, request)
 	if err != nil || resp.Heartbeat == nil {
 		metrics.GetOrRegisterCounter("membership.heartbeats_failed", nil).Inc(1)
 		return
 	}
-	n.observeHeartbeat(*resp.Heartbeat)
+	m.observeHeartbeat(*resp.Heartbeat)
 }
 
-func (n *Node) handleHeartbeat(_ context.Context, _ inner.Member, heartbeat *inner.Heartbeat) (*inner.Heartbeat, error) {
+func (m *Membership) handleHeartbeat(_ context.Context, _ inner.Member, heartbeat *inner.Heartbeat) (*inner.Heartbeat, error) {
 	if heartbeat.Member.Address == "" {
 		return nil, errkind.New(errkind.BadInput, "set the member's address", "heartbeat has no member address")
 	}
-	n.observeHeartbeat(*heartbeat)
-	return n.heartbeat(), nil
+	m.observeHeartbeat(*heartbeat)
+	return m.heartbeat(), nil
 }
 
-func (n *Node) observeHeartbeat(heartbeat inner.Heartbeat) {
+func (m *Membership) observeHeartbeat(heartbeat inner.Heartbeat) {
 	now := time.Now()
-	n.mu.Lock()
-	change := n.table.ObserveHeartbeat(heartbeat, now)
+	m.mu.Lock()
+	change := m.table.ObserveHeartbeat(heartbeat, now)
 	for _, relayed := range heartbeat.Relayed {
-		n.table.ObserveRelayed(relayed.Heartbeat, milliseconds(relayed.AgeMS), now)
+		m.table.ObserveRelayed(relayed.Heartbeat, milliseconds(relayed.AgeMS), now)
 	}
-	n.mu.Unlock()
-	if change.SchedulerChanged && n.options.Self.Role == membership.RoleGateway {
+	m.mu.Unlock()
+	if change.SchedulerChanged && m.options.Self.Role == membership.RoleGateway {
 		// Gateways of other failure domains route job queries to the active scheduler.
-		n.ExpediteGateways()
+		m.ExpediteGateways()
 	}
 	if change.Joined {
-		n.options.Log.Info().Str("peer", heartbeat.Member.VM).Str("peer_role", heartbeat.Member.Role).
+		m.options.Log.Info().Str("peer", heartbeat.Member.VM).Str("peer_role", heartbeat.Member.Role).
 			Str("peer_incarnation", heartbeat.Member.Incarnation).Msg("peer joined or restarted")
 	}
-	if n.options.OnHeartbeat != nil {
-		n.options.OnHeartbeat(heartbeat)
+	if m.options.OnHeartbeat != nil {
+		m.options.OnHeartbeat(heartbeat)
 	}
 }
 
-// pollVMList reads the platform's list of VMs every vmListInterval until ctx ends. After a failed read the last list stays
-// in use.
-func (n *Node) pollVMList(ctx context.Context) {
+// pollVMList reads the platform's list of VMs every vmListInterval until ctx ends. After a failed read, the last list
+// stays in use.
+func (m *Membership) pollVMList(ctx context.Context) {
 	ticker := time.NewTicker(vmListInterval)
 	defer ticker.Stop()
 	for {
-		if vms, err := n.options.VMs.VMs(ctx); err == nil {
-			n.mu.Lock()
-			n.table.ObserveVMs(vms)
-			n.mu.Unlock()
-			if n.options.ObserveVMs != nil {
-				n.options.ObserveVMs(vms)
+		if vms, err := m.options.VMs.VMs(ctx); err == nil {
+			m.mu.Lock()
+			m.table.ObserveVMs(vms)
+			m.mu.Unlock()
+			if m.options.ObserveVMs != nil {
+				m.options.ObserveVMs(vms)
 			}
 		} else if ctx.Err() == nil {
 			metrics.GetOrRegisterCounter("platform.vm_list_failed", nil).Inc(1)
--- a/daemon/node_test.go
+++ b/daemon/membership_test.go
@@ -36,7 +36,7 @@
 func TestHeartbeatResponseCarriesOwnState(t *testing.T) {
 	self := NewIncarnation(inner.Member{VM: "vm-1", Role: "gateway", FailureDomain: "fd-a", Address: "127.0.0.1:1"})
 	mux := &Mux{}
-	node := NewNode(Options{
+	m := NewMembership(MembershipOptions{
 		Self:          self,
 		Log:           zerolog.Nop(),
 		FillHeartbeat: func(heartbeat *inner.Heartbeat) { heartbeat.ConfigVersion = 7 },
@@ -46,7 +46,7 @@
 	if err != nil || resp.Heartbeat.ConfigVersion != 7 || resp.Heartbeat.Member != self {
 		t.Fatalf("got %+v, error %v", resp, err)
 	}
-	live := node.Live("gateway")
+	live := m.Live("gateway")
 	if len(live) != 1 || live[0].Member != peer || time.Since(live[0].LastSeen) > time.Minute {
 		t.Fatalf("live gateways are %+v", live)
 	}
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -12,11 +12,11 @@
 
 // configPeers returns the members to read the configuration from: the live ones, or all known ones while no gateway is
 // live, such as at process start. Only gateways receive configuration records from other failure domains.
-func (n *Node) configPeers() []configlog.Peer {
+func (m *Membership) configPeers() []configlog.Peer {
 	var live, known []configlog.Peer
 	gateways := 0
-	for _, state := range n.Peers() {
-		peer := configlog.NewPeer(state.Peer.Member.Address, state.Peer.Member.Address, n.client)
+	for _, state := range m.Peers() {
+		peer := configlog.NewPeer(state.Peer.Member.Address, state.Peer.Member.Address, m.client)
 		known = append(known, peer)
 		if !state.Live {
 			continue
@@ -33,18 +33,18 @@
 }
 
 // liveGateways returns the live gateways, without this process.
-func (n *Node) liveGateways() []inner.Member {
+func (m *Membership) liveGateways() []inner.Member {
 	var members []inner.Member
-	for _, peer := range n.Live(membership.RoleGateway) {
+	for _, peer := range m.Live(membership.RoleGateway) {
 		members = append(members, peer.Member)
 	}
 	return members
 }
 
 // schedulerAddresses returns the addresses of the live schedulers of a failure domain, the active one first.
-func (n *Node) schedulerAddresses(failureDomain string) []string {
+func (m *Membership) schedulerAddresses(failureDomain string) []string {
 	var schedulers []membership.Peer
-	for _, peer := range n.Live(membership.RoleScheduler) {
+	for _, peer := range m.Live(membership.RoleScheduler) {
 		if peer.Member.FailureDomain == failureDomain {
 			schedulers = append(schedulers, peer)
 		}
@@ -61,7 +61,7 @@
 
 // peerView gives the operator API the state of the other processes. It implements operatorapi.Peers.
 type peerView struct {
-	node     *Node
+	members  *Membership
 	follower *configlog.Follower
 }
 
@@ -70,10 +70,10 @@
 func (v peerView) ConfigStatus(context.Context) []operatorapi.VMStatus {
 	byVM := make(map[string]operatorapi.VMStatus)
 	own := v.follower.Status()
-	self := v.node.Self()
+	self := v.members.Self()
 	byVM[self.VM] = operatorapi.VMStatus{VM: self.VM, FailureDomain: self.FailureDomain, Known: own.HasConfig,
 		Version: own.Version, Digest: own.Digest}
-	for _, state := range v.node.Peers() {
+	for _, state := range v.members.Peers() {
 		mergeVMStatus(byVM, state)
 	}
 	statuses := make([]operatorapi.VMStatus, 0, len(byVM))
@@ -99,7 +99,7 @@
 // Health implements operatorapi.Peers.
 func (v peerView) Health(context.Context) []operatorapi.PeerHealth {
 	var health []operatorapi.PeerHealth
-	for _, state := range v.node.Peers() {
+	for _, state := range v.members.Peers() {
 		health = append(health, operatorapi.PeerHealth{
 			VM:            state.Peer.Member.VM,
 			FailureDomain: state.Peer.Member.FailureDomain,
@@ -117,7 +117,7 @@
 func (v peerView) ActiveSchedulers(context.Context) map[string]string {
 	active := make(map[string]string)
 	epochs := make(map[string]uint64)
-	for _, peer := range v.node.Live(membership.RoleScheduler) {
+	for _, peer := range v.members.Live(membership.RoleScheduler) {
 		domain := peer.Member.FailureDomain
 		if !peer.Heartbeat.Active || peer.Heartbeat.Epoch < epochs[domain] {
 			continue
--- a/daemon/scheduler.go
+++ b/daemon/scheduler.go
@@ -125,7 +125,7 @@
 	if !d.base.drainRequested() {
 		return false
 	}
-	for _, peer := range d.base.node.Live(membership.RoleScheduler) {
+	for _, peer := range d.base.members.Live(membership.RoleScheduler) {
 		if peer.Member.FailureDomain == d.base.self.FailureDomain && !peer.Leaving {
 			return true
 		}
@@ -172,7 +172,7 @@
 		}
 		if epoch := d.activeEpoch(); epoch != announced {
 			announced = epoch
-			d.base.node.ExpediteGateways()
+			d.base.members.ExpediteGateways()
 		}
 	}
 }
