--- a/control/fakes_test.go
+++ b/control/fakes_test.go
@@ -90,7 +90,7 @@
 			delete(w.tasks, key)
 			w.revision++
 		case task.State != infra.TaskReserved && now.After(task.expires):
-			task.State = infra.TaskLapsed
+			task.State = infra.TaskLeaseExpired
 		case task.loading && now.After(task.readyAt):
 			task.State, task.loading = infra.TaskHeld, false
 		case task.State == infra.TaskCheckpointing && now.After(task.stopAt):
--- a/infra/worker.go
+++ b/infra/worker.go
@@ -104,14 +104,14 @@
 	TaskDone          TaskState = "done"
 	TaskFailed        TaskState = "failed"
 	TaskStopped       TaskState = "stopped"
-	// TaskLapsed marks a task that the worker stopped because its task lease expired.
-	TaskLapsed TaskState = "lapsed"
+	// TaskLeaseExpired marks a task that the worker stopped because its task lease expired.
+	TaskLeaseExpired TaskState = "lapsed"
 )
 
 // Ended reports whether the task no longer uses resources.
 func (s TaskState) Ended() bool {
 	switch s {
-	case TaskDone, TaskFailed, TaskStopped, TaskLapsed:
+	case TaskDone, TaskFailed, TaskStopped, TaskLeaseExpired:
 		return true
 	}
 	return false
--- a/standin/task.go
+++ b/standin/task.go
@@ -128,7 +128,7 @@
 	case t.State == infra.TaskReserved && t.heldAt.IsZero():
 		return false
 	case !now.Before(t.leaseUntil):
-		t.State, t.Detail = infra.TaskLapsed, "task lease lapsed"
+		t.State, t.Detail = infra.TaskLeaseExpired, "task lease lapsed"
 	case t.State == infra.TaskReserved:
 		t.State = infra.TaskHeld
 	case t.State == infra.TaskRunning:
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -166,9 +166,9 @@
 	h.advanceClock(30*time.Second - 1)
 	h.wantState(infra.TaskRunning)
 	h.advanceClock(1)
-	h.wantState(infra.TaskLapsed)
+	h.wantState(infra.TaskLeaseExpired)
 	h.send()
-	h.wantState(infra.TaskLapsed)
+	h.wantState(infra.TaskLeaseExpired)
 }
 
 // TestTaskDoneBeforeLeaseExpires guards against a task that is reported as lapsed although it was done before its lease
