--- a/configlog/scenario_test.go
+++ b/configlog/scenario_test.go
@@ -76,7 +76,7 @@
 func runScenarioWith(t *testing.T, seed uint64, o options) *result {
 	res := &result{}
 	synctest.Test(t, func(t *testing.T) {
-		var assertions invariant.Log
+		var assertions invariant.Collector
 		defer invariant.SetRecorder(assertions.Record)()
 		c := newCluster(seed, o)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/configlog/state_test.go
+++ b/configlog/state_test.go
@@ -259,7 +259,7 @@
 // TestMonotoneAssertion verifies that the assertion of P8 reports a violation when a follower or a fold is given a
 // lower version, and that neither of them uses it.
 func TestMonotoneAssertion(t *testing.T) {
-	var log invariant.Log
+	var log invariant.Collector
 	defer invariant.SetRecorder(log.Record)()
 	st := new(stream).init().patch("a", 0).patch("b", 1)
 	s := st.fold(NewState())
--- a/control/scenario_test.go
+++ b/control/scenario_test.go
@@ -313,7 +313,7 @@
 // scenario before the run.
 func runScenario(t *testing.T, seed uint64, change ...func(*scenario)) (violations, events []string) {
 	t.Helper()
-	var collected invariant.Log
+	var collected invariant.Collector
 	restore := invariant.SetRecorder(collected.Record)
 	defer restore()
 	var s *scenario
--- a/dispatch/assert_test.go
+++ b/dispatch/assert_test.go
@@ -8,8 +8,8 @@
 )
 
 // collectViolations returns a log that records the failed assertions of a test.
-func collectViolations(t testing.TB) *invariant.Log {
-	log := &invariant.Log{}
+func collectViolations(t testing.TB) *invariant.Collector {
+	log := &invariant.Collector{}
 	t.Cleanup(invariant.SetRecorder(log.Record))
 	return log
 }
--- a/gang/gang_test.go
+++ b/gang/gang_test.go
@@ -336,7 +336,7 @@
 // TestAssertionNoticesPartialGang guards against an assertion of P2 that never records a violation, and against one that
 // does so within DifferBound.
 func TestAssertionNoticesPartialGang(t *testing.T) {
-	var log invariant.Log
+	var log invariant.Collector
 	defer invariant.SetRecorder(log.Record)()
 	c := newCluster(t, jobs.Job{})
 	c.stepUntil(PhaseRunning)
--- a/gateway/failure_test.go
+++ b/gateway/failure_test.go
@@ -359,12 +359,12 @@
 					t.Error("gateway is ready during its shutdown")
 				}
 				callers.Wait()
-				violations := len(f.log.Violations())
+				violations := len(f.collector.Violations())
 				if skipDrain {
 					if violations == 0 {
 						t.Error("requests were aborted and no assertion failed")
 					}
-					f.log = &invariant.Log{}
+					f.collector = &invariant.Collector{}
 					return
 				}
 				for got := range counts {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -36,7 +36,7 @@
 	endpoints map[string]*fakeEndpoint
 	mu        sync.Mutex
 	gateways  map[string]*node
-	log       *invariant.Log
+	collector *invariant.Collector
 	// unsafe disables rules of each new gateway; nil for none.
 	unsafe func(n *node)
 	cancel context.CancelFunc
@@ -62,7 +62,7 @@
 // newFixture returns a deployment with endpoints e-0 and so on, spread over the failure domains fd-0 to fd-2.
 func newFixture(t testing.TB, endpoints, slots int) *fixture {
 	f := &fixture{t: t, net: newMemNet(time.Millisecond), runLog: &runLog{}, endpoints: map[string]*fakeEndpoint{},
-		gateways: map[string]*node{}, log: &invariant.Log{}}
+		gateways: map[string]*node{}, collector: &invariant.Collector{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	service := config.Service{Name: "scan", TimeoutMS: 4000, MaxBodyBytes: 1 << 16, Endpoints: map[string]config.Endpoint{}}
 	for i := range endpoints {
@@ -76,7 +76,7 @@
 	for _, name := range []string{"orders", "blades", "flood"} {
 		f.doc.Accounts[name] = config.Account{Name: name, TokenDigest: digestOf(tokenOf(name)), Weight: 1}
 	}
-	t.Cleanup(invariant.SetRecorder(f.log.Record))
+	t.Cleanup(invariant.SetRecorder(f.collector.Record))
 	return f
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -18,7 +18,7 @@
 		time.Sleep(time.Millisecond)
 		body(t, f)
 		f.close()
-		for _, v := range f.log.Violations() {
+		for _, v := range f.collector.Violations() {
 			t.Errorf("violation %s", v)
 		}
 		// Lets the goroutines of the endpoints finish: a silent exchange sleeps for an hour.
--- a/gateway/scenario_test.go
+++ b/gateway/scenario_test.go
@@ -348,7 +348,7 @@
 			list = append(list, fmt.Sprintf("P5: request %s ran %d times", tag, n))
 		}
 	}
-	for _, v := range sc.log.Violations() {
+	for _, v := range sc.collector.Violations() {
 		list = append(list, v.String())
 	}
 	for _, e := range sc.endpoints {
--- a/invariant/example_test.go
+++ b/invariant/example_test.go
@@ -8,15 +8,15 @@
 
 // The recorder receives each violation; the program continues.
 func ExampleSetRecorder() {
-	log := &invariant.Log{}
-	restore := invariant.SetRecorder(log.Record)
+	collector := &invariant.Collector{}
+	restore := invariant.SetRecorder(collector.Record)
 	defer restore()
 
 	invariant.Check(true, invariant.GangAllOrNothing, "not recorded")
 	if !invariant.Check(false, invariant.AtMostOnce, "request %d ran twice", 7) {
 		fmt.Println("the caller handles the violation")
 	}
-	for _, violation := range log.Violations() {
+	for _, violation := range collector.Violations() {
 		fmt.Println(violation)
 	}
 	// Output:
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -78,23 +78,24 @@
 	return false
 }
 
-// Log collects violations in order. Its method Record can be installed as the Recorder. It is safe for concurrent use.
-type Log struct {
+// Collector collects violations in order. Its method Record can be installed as the Recorder. It is safe for concurrent
+// use.
+type Collector struct {
 	mu sync.Mutex
 	// violations is guarded by mu.
 	violations []Violation
 }
 
-// Record appends v to the log.
-func (l *Log) Record(v Violation) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.violations = append(l.violations, v)
+// Record appends v to the collected violations.
+func (c *Collector) Record(v Violation) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violations = append(c.violations, v)
 }
 
 // Violations returns a copy of the collected violations in order.
-func (l *Log) Violations() []Violation {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]Violation(nil), l.violations...)
+func (c *Collector) Violations() []Violation {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]Violation(nil), c.violations...)
 }
--- a/request/table_test.go
+++ b/request/table_test.go
@@ -155,11 +155,11 @@
 		}, invariant.NotRunIsTrue},
 	}
 	for name, c := range cases {
-		var log invariant.Log
-		restore := invariant.SetRecorder(log.Record)
+		var collector invariant.Collector
+		restore := invariant.SetRecorder(collector.Record)
 		c.act(&Attempts{})
 		restore()
-		got := log.Violations()
+		got := collector.Violations()
 		if len(got) > 1 || (len(got) == 1) != (c.want != "") || len(got) == 1 && got[0].ID != c.want {
 			t.Errorf("%s: got violations %v, want %q", name, got, c.want)
 		}
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -177,15 +177,15 @@
 		table.UnsafeIgnore(Rules{Leaving: ignore})
 		table.Done(Choice{Service: "s", Endpoint: "e-0", Address: "e-0"}, Report{Incarnation: "i", Leaving: true}, start)
 		now := start.Add(LeavingBound + time.Millisecond)
-		var log invariant.Log
-		restore := invariant.SetRecorder(log.Record)
+		var collector invariant.Collector
+		restore := invariant.SetRecorder(collector.Record)
 		c, ok := table.Pick("s", nil, false, now)
 		if ok {
 			table.CheckDispatch(c, now)
 		}
 		restore()
-		if ok != ignore || len(log.Violations()) > 0 != ignore {
-			t.Errorf("leaving ignored %v: picked %v, violations %v", ignore, ok, log.Violations())
+		if ok != ignore || len(collector.Violations()) > 0 != ignore {
+			t.Errorf("leaving ignored %v: picked %v, violations %v", ignore, ok, collector.Violations())
 		}
 	}
 }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -258,7 +258,7 @@
 // failOnViolations fails the test on every violated invariant.
 func failOnViolations(t *testing.T) {
 	t.Helper()
-	log := &invariant.Log{}
+	log := &invariant.Collector{}
 	restore := invariant.SetRecorder(log.Record)
 	t.Cleanup(func() {
 		restore()
--- a/scheduler/core_test.go
+++ b/scheduler/core_test.go
@@ -51,7 +51,7 @@
 	for id := range doc.Workers {
 		f.core.SetWorkerHealth(id, HealthUp, f.now)
 	}
-	log := &invariant.Log{}
+	log := &invariant.Collector{}
 	restore := invariant.SetRecorder(log.Record)
 	t.Cleanup(func() {
 		restore()
--- a/scheduler/scenario_test.go
+++ b/scheduler/scenario_test.go
@@ -38,7 +38,7 @@
 // runScenario runs one seeded scenario and returns its violations with their trace.
 func runScenario(t testing.TB, seed uint64, o options) []string {
 	t.Helper()
-	log := &invariant.Log{}
+	log := &invariant.Collector{}
 	defer invariant.SetRecorder(log.Record)()
 	s := newScenario(seed, o)
 	s.driver.run(testStart.Add(scenarioSpan))
