--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -89,15 +89,15 @@
 	keys.StoredBytes = int(limits.StoredResponseBytes)
 	keys.StoredBytesPerAccount = min(keys.StoredBytesPerAccount, keys.StoredBytes)
 	return gateway.Options{
-		Self:          d.base.self,
-		Config:        d.base.follower.Document,
-		Gateways:      d.base.members.liveGateways,
-		PeerRequester: d.base.members.Client(),
-		Log:           d.log,
-		Keys:          keys,
-		Queue:         queue,
-		Drained:       d.base.drainRequested,
-		ReactionTime:  milliseconds(d.settings.Shutdown.DrainMS),
+		Self:           d.base.self,
+		Config:         d.base.follower.Document,
+		Gateways:       d.base.members.liveGateways,
+		PeerRequester:  d.base.members.Client(),
+		Logger:         d.log,
+		Keys:           keys,
+		Queue:          queue,
+		DrainRequested: d.base.drainRequested,
+		ReactionTime:   milliseconds(d.settings.Shutdown.DrainMS),
 		Listener: gateway.ListenerLimits{
 			Connections:   int(limits.MaxConnections),
 			HeaderBytes:   int(limits.MaxHeaderBytes),
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// waitBackoff waits for d. It returns false if the deadline comes first or ctx ends.
+// waitBackoff waits for d and reports whether it did. It returns false at once if the deadline comes first, and as soon
+// as ctx ends.
 func waitBackoff(ctx context.Context, d time.Duration, deadline time.Time) bool {
 	if time.Until(deadline) <= d {
 		return false
@@ -117,20 +118,21 @@
 	return result
 }
 
-// exchangeTimeout returns the timeout of one exchange.
+// exchangeTimeout returns the timeout of one exchange: that of the service, or less for an idempotent request (see
+// minAttemptTimeout).
 func (g *Gateway) exchangeTimeout(c *callerRequest) time.Duration {
-	bound := time.Duration(c.config.TimeoutMS) * time.Millisecond
-	if bound <= 0 {
-		bound = defaultExchangeTimeout
+	timeout := time.Duration(c.config.TimeoutMS) * time.Millisecond
+	if timeout <= 0 {
+		timeout = defaultExchangeTimeout
 	}
 	if c.idempotent {
-		bound = min(bound, max(minAttemptTimeout, attemptTimeoutFactor*g.dispatcher.serviceTime(c.service)))
+		timeout = min(timeout, max(minAttemptTimeout, attemptTimeoutFactor*g.dispatcher.serviceTime(c.service)))
 	}
-	return bound
+	return timeout
 }
 
-// mayRetry reports whether another attempt is allowed, and takes it from the account's retry budget. An attempt after a
-// failed dial is free, since the endpoint did no work.
+// mayRetry reports whether another attempt is allowed after attempt number n. If so, it takes the attempt from the
+// account's retry budget. An attempt after a failed dial costs no budget, since the endpoint did no work.
 func (g *Gateway) mayRetry(c *callerRequest, attempts *request.Attempts, last endpoint.Result, n int) bool {
 	if n >= maxAttempts || last.Failure == endpoint.NotSent {
 		return false
@@ -144,8 +146,8 @@
 	return last.Failure == endpoint.NoConnection || g.dispatcher.takeRetry(c.account.Name)
 }
 
-// completedResponse returns the response of a successful attempt. The slot of a streamed response is held until its
-// body is closed.
+// completedResponse returns the response of a successful attempt and releases the slot of the choice. The slot of a
+// streamed response is released when its body is closed.
 func (g *Gateway) completedResponse(choice routing.Choice, r endpoint.Result) callerResponse {
 	response := &request.Response{Status: r.Response.Status, Header: r.Response.Header, Body: r.Response.Body}
 	resp := callerResponse{Result: request.Result{Outcome: request.Completed, Response: response}}
@@ -180,22 +182,22 @@
 
 // routingReport converts the result of an attempt to a report for the endpoint table.
 func routingReport(r endpoint.Result) routing.Report {
-	out := routing.Report{Took: r.Took, Inflight: r.Inflight, Incarnation: r.Incarnation, Leaving: r.Leaving}
+	report := routing.Report{Took: r.Took, Inflight: r.Inflight, Incarnation: r.Incarnation, Leaving: r.Leaving}
 	switch {
 	case r.Failure == endpoint.Busy || r.Failure == endpoint.NotSent:
-		out.Kind = routing.Abandoned
+		report.Kind = routing.Abandoned
 	case r.Failure == endpoint.NoConnection:
-		out.Kind = routing.NoConnection
+		report.Kind = routing.NoConnection
 	case r.Failure != endpoint.NoFailure && r.Reused:
-		out.Kind = routing.FailedReused
+		report.Kind = routing.FailedReused
 	case r.Failure != endpoint.NoFailure:
-		out.Kind = routing.Failed
+		report.Kind = routing.Failed
 	case r.NotRun:
-		out.Kind = routing.Rejected
+		report.Kind = routing.Rejected
 	case r.Response.Status >= http.StatusInternalServerError:
-		out.Kind = routing.ServerError
+		report.Kind = routing.ServerError
 	}
-	return out
+	return report
 }
 
 // attemptError returns the error that the caller gets for a failed attempt.
--- a/gateway/caller_request.go
+++ b/gateway/caller_request.go
@@ -30,27 +30,31 @@
 
 // callerRequest is a request from a caller, received directly or forwarded by another gateway.
 type callerRequest struct {
+	// id is the request id for logs and for the endpoint.
 	id      string
 	account config.Account
+	// service is the name of the service, config its configuration.
 	service string
 	config  config.Service
 	method  string
 	// path is the escaped path below the service, with the query. It starts with a slash.
-	path   string
+	path string
+	// header holds the fields that are sent to the endpoint; body is nil if the request has none.
 	header http.Header
 	body   []byte
-	// deadline is the caller's deadline.
+	// deadline is the end of the timeout that the caller requested, or of the default timeout.
 	deadline time.Time
-	// idempotent is true if the request has no key and is idempotent by its method or by the caller's header.
+	// idempotent is true if the caller sent no key and the request is idempotent by its method or by the caller's header.
 	idempotent bool
 	// keyText and key are the caller's key or the one that the gateway issued. keyText is empty for idempotent
 	// requests.
 	keyText string
 	key     request.Key
-	// reservedBytes is the share of Gateway.bodyBytes that the request holds.
+	// reservedBytes is the part of Gateway.bodyBytes that the request has reserved.
 	reservedBytes int64
-	// issued is true if the gateway issued the key for this request, so no other request can use the key.
-	issued bool
+	// implicitKey is true if the caller sent no key and the gateway issued one for this request, so no other request can
+	// use the key yet.
+	implicitKey bool
 }
 
 // newID returns a request id that is unique across gateway incarnations.
@@ -126,16 +130,17 @@
 	return s.MaxBodyBytes
 }
 
-// readBody reads the request body within the size limit of the service and the time limit of the listener.
+// readBody reads the request body within the size limit of the service and the time limit of the listener. The memory
+// that it reserves in bodyBytes is released by serveService.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request, c *callerRequest) error {
 	if r.ContentLength == 0 {
 		return nil
 	}
-	bound := maxBody(c.config)
-	if r.ContentLength > bound {
-		return errTooLarge(bound)
+	limit := maxBody(c.config)
+	if r.ContentLength > limit {
+		return errTooLarge(limit)
 	}
-	c.reservedBytes = bound
+	c.reservedBytes = limit
 	if r.ContentLength > 0 {
 		c.reservedBytes = r.ContentLength
 	}
@@ -149,7 +154,7 @@
 		c.body = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(r.Body, c.body)
 	} else {
-		c.body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, bound))
+		c.body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	}
 	if err == nil {
 		w.Header().Del("Connection")
@@ -157,23 +162,23 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return errTooLarge(bound)
+		return errTooLarge(limit)
 	}
 	return errkind.Wrap(err, errkind.BadInput, "send the whole body", "request body could not be read completely")
 }
 
-// errTooLarge returns the error of a request body above the service's limit of bound bytes.
-func errTooLarge(bound int64) error {
-	return errkind.New(errkind.TooLarge, "send a smaller body", "request body exceeds %d bytes", bound)
+// errTooLarge returns the error of a request body above the service's limit, in bytes.
+func errTooLarge(limit int64) error {
+	return errkind.New(errkind.TooLarge, "send a smaller body", "request body exceeds %d bytes", limit)
 }
 
-// fingerprint returns the fingerprint of the method, the path and the body.
+// fingerprint returns the fingerprint of the method, the service, the path and the body.
 func (c *callerRequest) fingerprint() request.Fingerprint {
 	return request.Fingerprint{Method: c.method, Path: c.service + c.path, BodyDigest: sha256.Sum256(c.body)}
 }
 
-// notForwarded holds the header fields, in canonical form, that the gateway does not forward: hop-by-hop fields, fields
-// of the caller API, and the caller's token.
+// notForwarded holds the header fields, in canonical form, that the gateway does not forward: hop-by-hop fields, the
+// caller's token and timeout, and the trace context, which each attempt sets anew.
 var notForwarded = map[string]bool{
 	"Authorization":       true,
 	"Connection":          true,
@@ -192,7 +197,8 @@
 	"Tracestate":          true,
 }
 
-// endToEnd returns a copy of the header without the fields that the gateway does not forward.
+// endToEnd returns a copy of the header without the fields that the gateway does not forward: those in notForwarded,
+// those that the Connection field names, and all whose names begin with "Redwing-".
 func endToEnd(from http.Header) http.Header {
 	to := make(http.Header, len(from)+4)
 	for name, values := range from {
--- a/gateway/dispatcher.go
+++ b/gateway/dispatcher.go
@@ -18,8 +18,10 @@
 	limits admission.Limits
 	mu     sync.Mutex
 	// The fields below are guarded by mu.
-	routes        *routing.Table
-	queues        map[string]*admission.Queue[*waiter]
+	routes *routing.Table
+	// queues holds the queue of each service by its name.
+	queues map[string]*admission.Queue[*waiter]
+	// weights and retryPercents hold the configured weight and retry budget of each account by its name.
 	weights       map[string]int
 	budgets       *admission.Budgets
 	retryPercents map[string]int
@@ -29,11 +31,13 @@
 
 // waiter is a queued request that waits for an endpoint slot.
 type waiter struct {
-	service  string
-	exclude  []string
+	service string
+	// exclude holds the ids of the endpoints that earlier attempts used.
+	exclude []string
+	// mayProbe allows the exchange to probe an ejected endpoint.
 	mayProbe bool
 	choice   routing.Choice
-	// granted receives nil once choice is set, or an error if the request was dropped.
+	// granted receives nil once choice is set, or an error if the request was evicted or dropped.
 	granted chan error
 }
 
@@ -61,7 +65,7 @@
 	d.dispatchAllLocked()
 }
 
-// queueLocked returns the queue of a service and creates it if needed. The caller holds mu.
+// queueLocked returns the queue of a service and creates it if needed. mu must be held.
 func (d *dispatcher) queueLocked(service string) *admission.Queue[*waiter] {
 	q, ok := d.queues[service]
 	if !ok {
@@ -71,8 +75,8 @@
 	return q
 }
 
-// acquire waits for an endpoint with a free slot, until the deadline of c or the end of ctx. The caller must pass the
-// choice to release.
+// acquire waits for an endpoint with a free slot, until the deadline of c or the end of ctx. Every choice that it
+// returns without an error must be passed to release.
 func (d *dispatcher) acquire(ctx context.Context, c *callerRequest, exclude []string) (routing.Choice, error) {
 	w := &waiter{service: c.service, exclude: exclude, mayProbe: c.idempotent, granted: make(chan error, 1)}
 	item := &admission.Item[*waiter]{Account: c.account.Name, Deadline: c.deadline, Value: w}
@@ -94,7 +98,8 @@
 	}
 }
 
-// offer queues a request and dispatches queued requests to free slots.
+// offer queues a request and assigns queued requests of its service to free slots. It returns an error if the request is
+// rejected; see admission.Queue.Offer.
 func (d *dispatcher) offer(item *admission.Item[*waiter]) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,8 +116,8 @@
 	return nil
 }
 
-// cancelWait removes a request from its queue and returns the error for reason. If the request was granted a slot or
-// dropped in the meantime, it returns that result instead.
+// cancelWait removes a request from its queue and returns the error for reason. If the request was granted a slot,
+// evicted or dropped in the meantime, it returns that result instead.
 func (d *dispatcher) cancelWait(item *admission.Item[*waiter], reason error) (routing.Choice, error) {
 	d.mu.Lock()
 	waiting := d.queueLocked(item.Value.service).Remove(item)
@@ -138,8 +143,8 @@
 // weight with age, so an endpoint that counts as full can get a free slot without an event.
 const dispatchInterval = 10 * time.Millisecond
 
-// dispatchLocked assigns the queued requests of a service to free slots, and schedules dispatchAll if some remain. The
-// caller holds mu.
+// dispatchLocked assigns the queued requests of a service to free slots, and schedules dispatchAll if some remain. mu
+// must be held.
 func (d *dispatcher) dispatchLocked(service string) {
 	q := d.queueLocked(service)
 	for q.Len() > 0 {
@@ -171,7 +176,7 @@
 	d.dispatchAllLocked()
 }
 
-// dispatchAllLocked dispatches the queued requests of all services. The caller holds mu.
+// dispatchAllLocked dispatches the queued requests of all services. mu must be held.
 func (d *dispatcher) dispatchAllLocked() {
 	for service, q := range d.queues {
 		if q.Len() > 0 {
@@ -180,7 +185,7 @@
 	}
 }
 
-// release returns the slot of a choice and records the result of its exchange.
+// release frees the slot of a choice, records the result of its exchange and dispatches queued requests of the service.
 func (d *dispatcher) release(c routing.Choice, r routing.Report) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gateway/fake_endpoint_test.go
+++ b/gateway/fake_endpoint_test.go
@@ -72,7 +72,8 @@
 // fakeEndpoint is an endpoint that keeps the endpoint contract except for injected faults.
 type fakeEndpoint struct {
 	id, address, incarnation string
-	slots                    int
+	// slots is the number of requests that run at the same time; 0 means no limit.
+	slots int
 	// reportsArrival makes the endpoint report its load as of the arrival of the request instead of the response.
 	reportsArrival bool
 	runLog         *runLog
@@ -168,7 +169,8 @@
 	}
 }
 
-// exchange runs a request and writes the response. It reports whether the connection stays open.
+// exchange runs a request, except with notRun503 or OPTIONS *, and writes the response. It reports whether the
+// connection stays open.
 func (e *fakeEndpoint) exchange(c net.Conn, r *http.Request, body []byte) bool {
 	if r.Method == http.MethodOptions && r.URL.Path == "*" {
 		return e.respond(c, r, http.StatusNoContent, nil, healthy)
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -35,21 +35,22 @@
 	runLog    *runLog
 	endpoints map[string]*fakeEndpoint
 	mu        sync.Mutex
-	gateways  map[string]*node
+	gateways  map[string]*testGateway
 	collector *invariant.Collector
 	// unsafe disables rules of each new gateway; nil for none.
-	unsafe func(n *node)
+	unsafe func(n *testGateway)
 	cancel context.CancelFunc
 	ctx    context.Context
 }
 
-// node is one gateway of a fixture.
-type node struct {
+// testGateway is one gateway of a fixture.
+type testGateway struct {
 	*Gateway
 	fixture *fixture
 	member  inner.Member
 	cancel  context.CancelFunc
-	dead    chan struct{}
+	// killed is closed when the gateway is killed.
+	killed chan struct{}
 }
 
 func tokenOf(account string) string { return "token-" + account }
@@ -59,10 +60,11 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// newFixture returns a deployment with endpoints e-0 and so on, spread over the failure domains fd-0 to fd-2.
+// newFixture returns a deployment without gateways and with endpoints e-0 and so on, spread over the failure domains
+// fd-0 to fd-2.
 func newFixture(t testing.TB, endpoints, slots int) *fixture {
 	f := &fixture{t: t, net: newMemNet(time.Millisecond), runLog: &runLog{}, endpoints: map[string]*fakeEndpoint{},
-		gateways: map[string]*node{}, collector: &invariant.Collector{}}
+		gateways: map[string]*testGateway{}, collector: &invariant.Collector{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	service := config.Service{Name: "scan", TimeoutMS: 4000, MaxBodyBytes: 1 << 16, Endpoints: map[string]config.Endpoint{}}
 	for i := range endpoints {
@@ -80,10 +82,10 @@
 	return f
 }
 
-// start starts a gateway with the options that change modifies.
-func (f *fixture) start(vm, incarnation, failureDomain string, change func(*Options)) *node {
+// start starts a gateway. change modifies its options; nil keeps the defaults of the fixture.
+func (f *fixture) start(vm, incarnation, failureDomain string, change func(*Options)) *testGateway {
 	member := inner.Member{FailureDomain: failureDomain, VM: vm, Role: "gateway", Incarnation: incarnation, Address: vm}
-	n := &node{fixture: f, member: member, dead: make(chan struct{})}
+	n := &testGateway{fixture: f, member: member, killed: make(chan struct{})}
 	o := Options{
 		Self:          member,
 		Config:        func() *config.Document { return f.doc },
@@ -91,7 +93,7 @@
 		PeerRequester: n,
 		Dial:          func(ctx context.Context, address string) (net.Conn, error) { return f.net.dial(ctx, vm, address) },
 		Seed:          7,
-		Log:           zerolog.Nop(),
+		Logger:        zerolog.Nop(),
 		Metrics:       metrics.NewRegistry(),
 	}
 	if change != nil {
@@ -114,36 +116,36 @@
 	return n
 }
 
-// members lists the live gateways.
+// members lists the members of the live gateways.
 func (f *fixture) members() []inner.Member {
 	var list []inner.Member
-	for _, n := range f.nodes() {
+	for _, n := range f.liveGateways() {
 		list = append(list, n.member)
 	}
 	return list
 }
 
-// nodes returns the live gateways.
-func (f *fixture) nodes() []*node {
+// liveGateways returns the live gateways.
+func (f *fixture) liveGateways() []*testGateway {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Values(f.gateways))
 }
 
 // kill stops a gateway at once: its callers and peers get no more responses from it.
-func (f *fixture) kill(n *node) {
+func (f *fixture) kill(n *testGateway) {
 	f.mu.Lock()
 	if f.gateways[n.member.VM] == n {
 		delete(f.gateways, n.member.VM)
 	}
 	f.mu.Unlock()
 	n.cancel()
-	close(n.dead)
+	close(n.killed)
 	f.net.kill(n.member.VM)
 }
 
 // Call implements inner.Requester over the in-memory network and its faults.
-func (n *node) Call(ctx context.Context, address string, req *inner.Request) (*inner.Response, error) {
+func (n *testGateway) Call(ctx context.Context, address string, req *inner.Request) (*inner.Response, error) {
 	f := n.fixture
 	if err := f.net.deliver(ctx, n.member.VM, address); err != nil {
 		return nil, err
@@ -169,7 +171,7 @@
 			return nil, err
 		}
 		return r.response, r.err
-	case <-peer.dead:
+	case <-peer.killed:
 		return nil, io.ErrUnexpectedEOF
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -184,6 +186,7 @@
 	kind    errkind.Kind
 	key     string
 	body    string
+	// aborted is true if the gateway aborted the connection to the caller.
 	aborted bool
 }
 
@@ -198,8 +201,8 @@
 	header  http.Header
 }
 
-// send sends a request to the gateway and waits for the response. It returns early if the gateway is killed.
-func (n *node) send(s testRequest) testResponse {
+// send sends a request to the gateway and waits for the response. It returns an empty one if the gateway is killed.
+func (n *testGateway) send(s testRequest) testResponse {
 	if s.path == "" {
 		s.path = "/v1/services/scan/work"
 	}
@@ -219,43 +222,44 @@
 	select {
 	case response := <-done:
 		return response
-	case <-n.dead:
+	case <-n.killed:
 		return testResponse{}
 	}
 }
 
-// serveOnce runs the HTTP handler and returns the recorded response.
-func (n *node) serveOnce(r *http.Request) (out testResponse) {
+// serveOnce runs the HTTP handler and returns the recorded response. A panic of the handler counts as an aborted
+// connection.
+func (n *testGateway) serveOnce(r *http.Request) (response testResponse) {
 	w := httptest.NewRecorder()
 	defer func() {
 		if recover() != nil {
-			out = testResponse{aborted: true}
+			response = testResponse{aborted: true}
 		}
 	}()
 	n.ServeHTTP(w, r)
-	out = testResponse{status: w.Code, outcome: w.Header().Get(headerOutcome), key: w.Header().Get(headerKey), body: w.Body.String()}
+	response = testResponse{status: w.Code, outcome: w.Header().Get(headerOutcome), key: w.Header().Get(headerKey), body: w.Body.String()}
 	var typed struct {
 		Kind errkind.Kind `json:"kind"`
 		Key  string       `json:"key"`
 	}
 	if json.Unmarshal(w.Body.Bytes(), &typed) == nil {
-		out.kind = typed.Kind
+		response.kind = typed.Kind
 		if typed.Key != "" {
-			out.key = typed.Key
+			response.key = typed.Key
 		}
 	}
-	return out
+	return response
 }
 
 // newKey requests a key for the account.
-func (n *node) newKey(account string) string {
+func (n *testGateway) newKey(account string) string {
 	return n.send(testRequest{account: account, method: http.MethodPost, path: "/v1/keys"}).key
 }
 
 // close stops all gateways and endpoints.
 func (f *fixture) close() {
 	f.cancel()
-	for _, n := range f.nodes() {
+	for _, n := range f.liveGateways() {
 		f.kill(n)
 	}
 	for id, e := range f.endpoints {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -22,7 +22,8 @@
 	forwardBackoff = 50 * time.Millisecond
 )
 
-// forward sends a request to the gateway that issued its key. The outcome is unknown if that gateway sends no response.
+// forward sends a request to the gateway that issued its key. The outcome is unknown if that gateway is not live or
+// sends no response.
 func (g *Gateway) forward(ctx context.Context, c *callerRequest) callerResponse {
 	ctx, span := g.tracer.Start(ctx, "gateway.forward", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
@@ -39,12 +40,12 @@
 		if !ok {
 			break
 		}
-		response, callErr := g.options.PeerRequester.Call(ctx, owner.Address, g.forwardMessage(ctx, c))
-		if callErr == nil && response.Forward != nil {
+		response, requestErr := g.options.PeerRequester.Call(ctx, owner.Address, g.forwardMessage(ctx, c))
+		if requestErr == nil && response.Forward != nil {
 			return fromForwardResponse(response.Forward)
 		}
-		if callErr != nil {
-			err = errkind.Wrap(callErr, errkind.Unknown, "send the same request with the same key again",
+		if requestErr != nil {
+			err = errkind.Wrap(requestErr, errkind.Unknown, "send the same request with the same key again",
 				"gateway that issued the key cannot be reached")
 		}
 	}
@@ -111,7 +112,8 @@
 	return header
 }
 
-// fromForwardResponse converts the owner's response. A response without a valid outcome counts as unknown.
+// fromForwardResponse converts the response of the gateway that issued the key. A response without a valid outcome
+// counts as unknown.
 func fromForwardResponse(f *inner.ForwardResponse) callerResponse {
 	switch request.Outcome(f.Outcome) {
 	case request.Completed:
@@ -148,7 +150,7 @@
 	return response, nil
 }
 
-// handleForward runs a forwarded request.
+// handleForward runs a forwarded request. It does not run a request whose key another gateway incarnation issued.
 func (g *Gateway) handleForward(ctx context.Context, c *callerRequest, f *inner.Forward) callerResponse {
 	if g.lifecycle.enter() {
 		defer g.lifecycle.leave()
@@ -172,7 +174,8 @@
 	return g.rejectNew(c)
 }
 
-// parseForward fills c from a Forward message.
+// parseForward sets the fields of c from a Forward message. It returns an error if the key is malformed or if the
+// configuration in force lacks the account or the service.
 func (g *Gateway) parseForward(c *callerRequest, f *inner.Forward) error {
 	key, err := request.Parse(f.Key)
 	if err != nil {
@@ -211,13 +214,13 @@
 		resp = errorResponse(request.Unknown, errkind.New(errkind.TooLarge, "ask the service whether the request ran",
 			"response of %d bytes is too large to be forwarded", resp.length))
 	}
-	out := &inner.ForwardResponse{Outcome: string(resp.Outcome)}
+	message := &inner.ForwardResponse{Outcome: string(resp.Outcome)}
 	if resp.Outcome != request.Completed {
-		out.Error = errkind.As(resp.Err)
-		return out
+		message.Error = errkind.As(resp.Err)
+		return message
 	}
-	out.Status = resp.Response.Status
-	out.Header = toFields(endToEnd(resp.Response.Header))
-	out.Body = resp.Response.Body
-	return out
+	message.Status = resp.Response.Status
+	message.Header = toFields(endToEnd(resp.Response.Header))
+	message.Body = resp.Response.Body
+	return message
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,7 +31,7 @@
 	Self inner.Member
 	// Config returns the configuration in force, nil while there is none. A returned document must not be modified.
 	Config func() *config.Document
-	// Gateways returns the live gateways of the deployment, with or without this one.
+	// Gateways returns the live gateways of the deployment, with or without this one; nil means that there are no others.
 	Gateways func() []inner.Member
 	// PeerRequester sends requests to the gateways that issued keys.
 	PeerRequester inner.Requester
@@ -39,14 +39,14 @@
 	Dial endpoint.Dial
 	// Seed makes the choice of endpoints reproducible; 0 selects a random seed.
 	Seed    uint64
-	Log     zerolog.Logger
+	Logger  zerolog.Logger
 	Metrics metrics.Registry
 	Keys    request.Limits
 	Queue   admission.Limits
-	// Drained reports whether the configuration drains the gateway's VM; nil means never. A drained gateway is not
-	// ready, but serves the requests that still arrive.
-	Drained func() bool
-	// ReactionTime is how long the load balancer may go on sending requests to a gateway that turned unready.
+	// DrainRequested reports whether the configuration drains the gateway's VM; nil means never. The gateway then reports
+	// not ready, but serves the requests that still arrive.
+	DrainRequested func() bool
+	// ReactionTime is how long the load balancer may go on sending requests to a gateway that reports not ready.
 	ReactionTime time.Duration
 	// Timeout is the timeout of requests without Request-Timeout-Ms; MaxTimeout is the maximum value of that header.
 	Timeout    time.Duration
@@ -90,11 +90,11 @@
 	o.Listener.setDefaults()
 }
 
-// Gateway serves callers and forwarded requests. Its methods are safe for concurrent use.
+// Gateway serves requests of callers and requests that other gateways forward. Its methods are safe for concurrent use.
 type Gateway struct {
 	options Options
 	owner   request.Owner
-	// configMu serializes changes of snapshot and of the dispatcher's configuration.
+	// configMu serialises changes of snapshot and of the dispatcher's configuration.
 	configMu   sync.Mutex
 	snapshot   atomic.Pointer[snapshot]
 	dispatcher *dispatcher
@@ -102,7 +102,7 @@
 	lifecycle  lifecycle
 	meters     meters
 	tracer     trace.Tracer
-	// seated is true once this gateway may open connections to endpoints. It is never reset.
+	// seated is true once this gateway has a seat, so that it may open connections to endpoints. It is never reset.
 	seated atomic.Bool
 	keysMu sync.Mutex
 	// keys is guarded by keysMu.
@@ -113,7 +113,7 @@
 	// idPrefix and idCount form the request ids. A random id per request would cost a system call.
 	idPrefix string
 	idCount  atomic.Uint64
-	// bodyBytes is the memory reserved for the bodies of requests being served.
+	// bodyBytes is the memory reserved for the bodies of requests being served, in bytes.
 	bodyBytes atomic.Int64
 	unsafe    unsafeRules
 }
@@ -126,8 +126,8 @@
 	claimNotRun bool
 	// runForeignKeys runs requests whose key another gateway issued.
 	runForeignKeys bool
-	// skipDrain makes Shutdown not wait for accepted requests.
-	skipDrain bool
+	// skipShutdownWait makes Shutdown not wait for accepted requests.
+	skipShutdownWait bool
 }
 
 // New returns a gateway that can serve requests at once. Run must be called for its periodic work. New returns an
@@ -166,8 +166,8 @@
 // maintenanceInterval is the period of the work in Run.
 const maintenanceInterval = 100 * time.Millisecond
 
-// Run does the periodic work until ctx ends: it applies configuration changes, takes a seat, probes endpoints, closes
-// idle connections and updates the metrics.
+// Run does the periodic work until ctx ends: it applies configuration changes, takes a seat once one is free, probes
+// endpoints, closes idle connections and updates the metrics.
 func (g *Gateway) Run(ctx context.Context) {
 	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -9,8 +9,8 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// inBubble runs body on a new fixture in a synctest bubble, that is in virtual time, and checks that no assertion
-// failed.
+// inBubble runs body on a new fixture in a synctest bubble, that is, in virtual time, and checks that no assertion of
+// package invariant failed.
 func inBubble(t *testing.T, endpoints, slots int, body func(t *testing.T, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -19,7 +19,7 @@
 		body(t, f)
 		f.close()
 		for _, v := range f.collector.Violations() {
-			t.Errorf("violation %s", v)
+			t.Errorf("an assertion failed: %s", v)
 		}
 		// Lets the goroutines of the endpoints finish: a silent exchange sleeps for an hour.
 		time.Sleep(2 * time.Hour)
@@ -27,7 +27,8 @@
 }
 
 // TestExchangeFaults guards against a faulty exchange with an endpoint whose response is passed on as valid, whose
-// request runs twice, or whose outcome is reported wrongly.
+// request runs more often than allowed, whose outcome is reported wrongly, or whose remaining data a later exchange
+// reads.
 func TestExchangeFaults(t *testing.T) {
 	cases := map[string]struct {
 		fault    fault
@@ -56,13 +57,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, 3, 8, func(t *testing.T, f *fixture) {
-				committed := false
+				injected := false
 				for _, e := range f.endpoints {
 					e.nextFault = func(*http.Request) fault {
-						if committed {
+						if injected {
 							return healthy
 						}
-						committed = true
+						injected = true
 						return c.fault
 					}
 				}
@@ -77,7 +78,7 @@
 				// A second request shows that no later exchange reads a response left over from the first.
 				r = g.send(testRequest{account: "orders", method: "POST", body: "second"})
 				if r.outcome != "completed" || r.body != "done:second" {
-					t.Errorf("second request got %q %q", r.outcome, r.body)
+					t.Errorf("second request: got outcome %q body %q, want completed and done:second", r.outcome, r.body)
 				}
 			})
 		})
--- a/gateway/handler.go
+++ b/gateway/handler.go
@@ -40,8 +40,8 @@
 // ServeHTTP serves the caller API.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.ContentLength != 0 {
-		// An error response sent before the body is read closes the connection: net/http would otherwise read the rest
-		// of the body first, without a time limit.
+		// A response that is sent before the whole body is read must close the connection: net/http would otherwise read
+		// the rest of the body first, without a time limit. readBody removes the field.
 		w.Header().Set("Connection", "close")
 	}
 	switch {
@@ -79,7 +79,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(status)
-	// The error is ignored: the caller has disconnected.
+	// The error is ignored, since it means that the caller has disconnected.
 	_, _ = w.Write(data)
 }
 
@@ -160,7 +160,7 @@
 	g.logRequest(ctx, c, resp, time.Since(start))
 }
 
-// handle validates a request and runs or forwards it.
+// handle validates a request and runs or forwards it. accepted is false if the gateway no longer accepts requests.
 func (g *Gateway) handle(ctx context.Context, w http.ResponseWriter, r *http.Request, c *callerRequest, accepted bool) callerResponse {
 	err := g.receive(w, r, c)
 	if err != nil {
@@ -179,7 +179,7 @@
 	if c.keyText == "" {
 		c.key = g.issue(c.account.Name)
 		c.keyText = c.key.String()
-		c.issued = true
+		c.implicitKey = true
 		w.Header().Set(headerKey, c.keyText)
 	}
 	if c.key.Owner != g.owner && g.unsafe.runForeignKeys {
@@ -212,7 +212,7 @@
 }
 
 // rejectedOutcome returns the outcome of a request that was rejected before its key was looked up. It is unknown for a
-// valid key: an earlier request with the key may have run, which only the owner of the key knows.
+// well-formed key: an earlier request with the key may have run, which only the gateway that issued the key knows.
 func (g *Gateway) rejectedOutcome(c *callerRequest) request.Outcome {
 	if c.keyText == "" {
 		return request.NotRun
@@ -224,7 +224,7 @@
 }
 
 // writeResponse sends the response to the caller. If a streamed body turns out to be incomplete, it aborts the
-// connection.
+// connection by a panic (see streamBody).
 func (g *Gateway) writeResponse(w http.ResponseWriter, c *callerRequest, resp callerResponse) {
 	if resp.stream != nil {
 		defer resp.stream.Close()
@@ -273,7 +273,7 @@
 	n, err := io.Copy(w, resp.stream)
 	if err != nil || n != length {
 		g.meters.aborted.Inc(1)
-		g.options.Log.Warn().Str("request", c.id).Str("account", c.account.Name).Int64("sent", n).Int64("length", length).
+		g.options.Logger.Warn().Str("request", c.id).Str("account", c.account.Name).Int64("sent", n).Int64("length", length).
 			Str("failure_domain", g.owner.FailureDomain).AnErr("error", err).
 			Msg("response body not sent completely, caller connection aborted")
 		panic(http.ErrAbortHandler)
@@ -285,7 +285,7 @@
 func (g *Gateway) writeError(w http.ResponseWriter, resp callerResponse) {
 	typed := errkind.As(resp.Err)
 	if typed == nil {
-		typed = errkind.As(errkind.New(errkind.Internal, "report this with the request id", "request has no result"))
+		typed = errkind.As(errkind.New(errkind.Internal, "report this as a bug, with the request id", "request has no result"))
 	}
 	if typed.Kind == errkind.Overloaded || typed.Kind == errkind.Unavailable {
 		w.Header().Set("Retry-After", "1")
--- a/gateway/keyed.go
+++ b/gateway/keyed.go
@@ -14,8 +14,8 @@
 	result request.Result
 }
 
-// runKeyed runs a request whose key this gateway issued. A repeat of the key waits for the running request or gets its
-// stored result.
+// runKeyed runs a request whose key this gateway issued. A request that repeats the key waits for the running one or gets
+// the stored result.
 func (g *Gateway) runKeyed(ctx context.Context, c *callerRequest) callerResponse {
 	d, e, outcome, err := g.begin(c)
 	if err != nil {
@@ -29,8 +29,8 @@
 		return awaitExecution(ctx, c, e)
 	}
 	g.dispatcher.countFirstAttempt(c.account.Name)
-	if !c.issued {
-		// The request outlives the caller's connection: the caller may fetch the result through another gateway.
+	if !c.implicitKey {
+		// The request continues if the caller disconnects: the caller may fetch the result through another gateway.
 		ctx = context.WithoutCancel(ctx)
 	}
 	resp := g.run(ctx, c, d.Attempts)
@@ -38,7 +38,8 @@
 	return resp
 }
 
-// begin looks up the key of c and registers an execution if the request may run.
+// begin looks up the key of c and registers an execution if the request may run. The execution is also set if the
+// request must wait for the running one. The outcome is that of the request if begin returns an error, else empty.
 func (g *Gateway) begin(c *callerRequest) (request.Decision, *execution, request.Outcome, error) {
 	g.keysMu.Lock()
 	defer g.keysMu.Unlock()
@@ -64,8 +65,8 @@
 	close(e.done)
 }
 
-// storable returns the result for repeats of the request. A streamed body is not stored, so repeats get an unknown
-// outcome.
+// storable returns the result to store for requests that repeat the key. A streamed body is not stored, so they get the
+// outcome unknown.
 func storable(resp callerResponse) request.Result {
 	if resp.stream == nil {
 		return resp.Result
--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -26,7 +26,7 @@
 	mu sync.Mutex
 	// phase is guarded by mu.
 	phase phase
-	// active counts accepted requests without a response; guarded by mu.
+	// active is the number of accepted requests that are not finished; guarded by mu.
 	active int
 	// idle is closed when the phase is rejecting and active is 0.
 	idle     chan struct{}
@@ -36,8 +36,8 @@
 // init prepares the zero value for use.
 func (l *lifecycle) init() { l.idle = make(chan struct{}) }
 
-// enter counts a request as accepted, unless the gateway rejects new ones. The caller must call leave if it returns
-// true.
+// enter counts a request as accepted and returns true, unless the gateway rejects new ones. If it returns true, leave
+// must be called at the end of the request.
 func (l *lifecycle) enter() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,14 +56,14 @@
 	l.closeIfIdle()
 }
 
-// closeIfIdle closes idle if the gateway rejects new requests and has finished all accepted ones. The caller holds mu.
+// closeIfIdle closes idle if the gateway rejects new requests and has finished all accepted ones. mu must be held.
 func (l *lifecycle) closeIfIdle() {
 	if l.phase == rejecting && l.active == 0 {
 		l.idleOnce.Do(func() { close(l.idle) })
 	}
 }
 
-// advance moves to a later phase. It never moves back.
+// advance moves to the phase, unless that would be a step back.
 func (l *lifecycle) advance(to phase) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +71,7 @@
 	l.closeIfIdle()
 }
 
-// state returns the phase and the number of accepted requests.
+// state returns the phase and the number of accepted requests that are not finished.
 func (l *lifecycle) state() (phase, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,34 +90,35 @@
 	if !g.seated.Load() {
 		return false, "more live gateways than seats"
 	}
-	if g.options.Drained != nil && g.options.Drained() {
+	if g.options.DrainRequested != nil && g.options.DrainRequested() {
 		return false, "the configuration drains this VM"
 	}
 	return true, ""
 }
 
-// Shutdown stops the gateway gracefully: it turns unready, accepts requests for Options.ReactionTime more, finishes the
-// accepted requests, and closes all connections. It returns a DeadlineExceeded error if ctx ends before that.
+// Shutdown stops the gateway gracefully: it reports not ready, accepts requests for another Options.ReactionTime,
+// finishes the accepted requests, and closes all connections. It returns a DeadlineExceeded error if ctx ends before
+// that.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	g.lifecycle.advance(unready)
-	g.options.Log.Info().Str("failure_domain", g.owner.FailureDomain).Msg("shutdown started, gateway is unready")
+	g.options.Logger.Info().Str("failure_domain", g.owner.FailureDomain).Msg("shutdown started, gateway reports not ready")
 	select {
 	case <-time.After(g.options.ReactionTime):
 	case <-ctx.Done():
 	}
 	g.lifecycle.advance(rejecting)
-	if !g.unsafe.skipDrain {
+	if !g.unsafe.skipShutdownWait {
 		select {
 		case <-g.lifecycle.idle:
 		case <-ctx.Done():
 		}
 	}
 	_, active := g.lifecycle.state()
-	drained := invariant.Check(active == 0, invariant.ShutdownDropsNothing,
+	completed := invariant.Check(active == 0, invariant.ShutdownDropsNothing,
 		"%d accepted requests have no response at the end of a shutdown", active)
 	err := g.server.Shutdown(ctx)
 	g.pools.Close()
-	if !drained {
+	if !completed {
 		return errkind.New(errkind.DeadlineExceeded, "allow the shutdown more time",
 			"shutdown aborted %d requests", active)
 	}
--- a/gateway/memnet_test.go
+++ b/gateway/memnet_test.go
@@ -16,7 +16,8 @@
 	mu        sync.Mutex
 	delay     time.Duration
 	listeners map[string]*memListener
-	// cut holds the host pairs that cannot reach each other; guarded by mu, as are the maps below.
+	// cut holds the host pairs that cannot reach each other, frozen the hosts whose traffic is delayed until they are
+	// unfrozen, dead the killed hosts, conns the open connections; all are guarded by mu.
 	cut    map[[2]string]bool
 	frozen map[string]bool
 	dead   map[string]bool
@@ -79,7 +80,8 @@
 	}
 }
 
-// blocked reports whether traffic from a to b is held back now. The returned channel is closed when the faults change.
+// blocked reports whether traffic from a to b is held back now. The returned channel is closed when a fault is injected
+// or removed.
 func (n *memNet) blocked(a, b string) (bool, chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -18,7 +18,8 @@
 
 // loadResult counts the results of the requests of one account.
 type loadResult struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// good is the number of requests completed by their deadline, lost that of all others.
 	good int
 	// latencies holds the latencies of completed requests.
 	latencies []time.Duration
@@ -36,7 +37,7 @@
 
 // offerLoad sends requests of an account at a mean rate per second for the given span, as an open loop: it does not
 // wait for the responses.
-func offerLoad(gateways []*node, account string, rate int, span, deadline time.Duration, all *sync.WaitGroup) *loadResult {
+func offerLoad(gateways []*testGateway, account string, rate int, span, deadline time.Duration, all *sync.WaitGroup) *loadResult {
 	o := &loadResult{}
 	r := rand.New(rand.NewPCG(uint64(rate), 5))
 	all.Go(func() {
@@ -61,7 +62,7 @@
 }
 
 // TestOverload guards against goodput that collapses when one account sends 3 times the capacity, against other
-// accounts that miss their deadlines meanwhile, and against a gateway that does not recover by itself.
+// accounts that miss their deadlines meanwhile, and against a gateway that does not recover by itself afterwards.
 func TestOverload(t *testing.T) {
 	const span = 10 * time.Second
 	const deadline = 500 * time.Millisecond
@@ -83,12 +84,12 @@
 					e.serviceTime = func() time.Duration { return overloadService }
 					e.reportsArrival = c.reportsArrival
 				}
-				f.unsafe = func(n *node) {
+				f.unsafe = func(n *testGateway) {
 					if unsafe {
 						n.dispatcher.queueLocked("scan").UnsafeUnbounded()
 					}
 				}
-				var g []*node
+				var g []*testGateway
 				for i := range c.gateways {
 					g = append(g, f.start(fmt.Sprintf("vm-%d", i), "i", "fd-0", nil))
 				}
@@ -108,10 +109,10 @@
 				contained := ratio >= 0.9 && modest.p99() < deadline && modest.lost*100 <= modest.good
 				recovered := after.lost*100 <= after.good
 				if !unsafe && (!contained || !recovered) {
-					t.Error("overload is not contained")
+					t.Error("goodput fell below 90%, another account lost requests, or the gateway did not recover")
 				}
 				if unsafe && contained {
-					t.Error("overload is contained without the rules; the check shows nothing")
+					t.Error("overload is contained without the rules, so the check does not detect their absence")
 				}
 			})
 		})
--- a/gateway/scenario_test.go
+++ b/gateway/scenario_test.go
@@ -25,9 +25,9 @@
 	outcome string
 }
 
-// keyModel models one request as a register with the states fresh, ran and refused. A run requires the state fresh. A
-// completed response requires the state ran. The outcome not_run requires that the request has not run, and sets the
-// state refused, after which it must never run.
+// keyModel models one request with the states fresh, ran and refused. A run requires the state fresh. A completed
+// response requires the state ran. The outcome not_run requires that the request has not run, and sets the state
+// refused, after which it must never run.
 var keyModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byTag := map[string][]porcupine.Operation{}
@@ -60,7 +60,8 @@
 type scenario struct {
 	*fixture
 	mu sync.Mutex
-	// history holds the operations of requests that are not idempotent. It and the fields below are guarded by mu.
+	// history holds the operations of requests that are not idempotent, trace the injected faults, completed the number
+	// of completed requests that are not idempotent. These and the other fields below are guarded by mu.
 	history         []porcupine.Operation
 	violations      []string
 	trace           []string
@@ -93,7 +94,7 @@
 func (sc *scenario) chance(r *rand.Rand, percent int) bool { return r.IntN(100) < percent }
 
 // pick returns a random live gateway, nil if there is none.
-func (sc *scenario) pick(r *rand.Rand) *node {
+func (sc *scenario) pick(r *rand.Rand) *testGateway {
 	sc.fixture.mu.Lock()
 	defer sc.fixture.mu.Unlock()
 	for range 20 {
@@ -116,7 +117,7 @@
 }
 
 // sendOnce sends a request, records it, and checks that a completed response is that of the request.
-func (sc *scenario) sendOnce(n *node, s testRequest) testResponse {
+func (sc *scenario) sendOnce(n *testGateway, s testRequest) testResponse {
 	call := time.Now()
 	out := n.send(s)
 	if s.method == http.MethodPost {
@@ -131,7 +132,7 @@
 	return out
 }
 
-// caller sends requests of all kinds until the end of the scenario.
+// caller sends idempotent requests and others with and without a key until the end of the scenario.
 func (sc *scenario) caller(id int, r *rand.Rand, end time.Time) {
 	for k := 0; time.Now().Before(end); k++ {
 		time.Sleep(time.Duration(r.IntN(60)) * time.Millisecond)
@@ -157,7 +158,7 @@
 
 // sendKeyed sends a request with a key until it is completed, up to 4 times, at changing gateways and sometimes at two
 // at once.
-func (sc *scenario) sendKeyed(n *node, r *rand.Rand, s testRequest) {
+func (sc *scenario) sendKeyed(n *testGateway, r *rand.Rand, s testRequest) {
 	for range 4 {
 		if sc.chance(r, 50) {
 			if other := sc.pick(r); other != nil {
@@ -249,7 +250,8 @@
 	})
 }
 
-// gossip exchanges leaving incarnations between gateways and gives them an outdated VM list.
+// gossip exchanges leaving incarnations between gateways and gives them a VM list in which all endpoints are live, as a
+// list that lags would.
 func (sc *scenario) gossip(end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(500 * time.Millisecond)
@@ -257,10 +259,10 @@
 		for _, e := range sc.endpoints {
 			vms = append(vms, infra.VM{ID: e.id, Role: infra.RoleEndpoint, State: infra.VMLive})
 		}
-		nodes := sc.nodes()
-		for _, from := range nodes {
+		liveGateways := sc.liveGateways()
+		for _, from := range liveGateways {
 			from.ObserveVMs(vms)
-			for _, to := range nodes {
+			for _, to := range liveGateways {
 				if held, _ := sc.net.blocked(from.member.VM, to.member.VM); !held {
 					to.LearnLeaving(from.LeavingEndpoints())
 				}
@@ -298,8 +300,8 @@
 }
 
 // runScenario runs one seeded scenario in virtual time. It returns the violations, a trace of the injected faults and
-// the number of completed requests. unsafe disables rules of each gateway; nil for none.
-func runScenario(t *testing.T, seed uint64, unsafe func(n *node)) (violations, trace []string, completed int) {
+// the number of completed requests that are not idempotent. unsafe disables rules of each gateway; nil for none.
+func runScenario(t *testing.T, seed uint64, unsafe func(n *testGateway)) (violations, trace []string, completed int) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		f := newFixture(t, 9, 4)
@@ -378,15 +380,15 @@
 // TestScenarioNeedsRules guards against vacuous checks: with any one of the rules disabled, the scenario must report a
 // violation.
 func TestScenarioNeedsRules(t *testing.T) {
-	cases := map[string]func(n *node){
-		"record of used keys":         func(n *node) { n.keys.UnsafeAllowReuse() },
-		"no replay after a write":     func(n *node) { n.unsafe.retryAlways = true },
-		"not_run only when unwritten": func(n *node) { n.unsafe.claimNotRun = true },
-		"keys run at their owner":     func(n *node) { n.unsafe.runForeignKeys = true },
-		"leaving endpoints get no work": func(n *node) {
+	cases := map[string]func(n *testGateway){
+		"record of used keys":         func(n *testGateway) { n.keys.UnsafeAllowReuse() },
+		"no replay after a write":     func(n *testGateway) { n.unsafe.retryAlways = true },
+		"not_run only when unwritten": func(n *testGateway) { n.unsafe.claimNotRun = true },
+		"keys run at their owner":     func(n *testGateway) { n.unsafe.runForeignKeys = true },
+		"leaving endpoints get no work": func(n *testGateway) {
 			n.dispatcher.routes.UnsafeIgnore(routing.Rules{Leaving: true})
 		},
-		"checks of responses": func(n *node) { n.pools.UnsafeSkipChecks() },
+		"checks of responses": func(n *testGateway) { n.pools.UnsafeSkipChecks() },
 	}
 	for name, unsafe := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -14,9 +14,9 @@
 type ListenerLimits struct {
 	// Connections is the maximum number of open caller connections.
 	Connections int
-	// HeaderBytes is the maximum size of a request header.
+	// HeaderBytes is the maximum size of a request header, in bytes.
 	HeaderBytes int
-	// BodyBytes is the maximum total size of the bodies of all requests being served.
+	// BodyBytes is the maximum total size of the bodies of all requests being served, in bytes.
 	BodyBytes int64
 	// HeaderTimeout is the maximum time to receive a request header.
 	HeaderTimeout time.Duration
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -41,10 +41,10 @@
 	g, err := New(Options{
 		Self:          inner.Member{FailureDomain: "fd-0", VM: "vm-0", Incarnation: "i"},
 		Config:        func() *config.Document { return doc },
-		PeerRequester: &node{},
+		PeerRequester: &testGateway{},
 		ReactionTime:  200 * time.Millisecond,
 		Listener:      limits,
-		Log:           zerolog.New(io.Discard),
+		Logger:        zerolog.New(io.Discard),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 		got, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		if whole := err == nil && len(got) == len(body); whole != (sent == len(body)) {
-			t.Errorf("%s: read %d bytes, %v", name, len(got), err)
+			t.Errorf("%s: read %d bytes, error %v, want all bytes only of the whole response", name, len(got), err)
 		}
 		for range 100 {
 			if g.EndpointStatus()[0].Inflight == 0 {
@@ -99,13 +99,13 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if n := g.EndpointStatus()[0].Inflight; n != 0 {
-			t.Errorf("%s: %d slots are still held", name, n)
+			t.Errorf("%s: %d slots are still in use 1 s after the response, want 0", name, n)
 		}
 	}
 }
 
 // TestListenerLimits guards against callers that exhaust the gateway with slow or large headers and bodies, or with
-// connections.
+// connections. A connection above the limit must be served once another one is closed.
 func TestListenerLimits(t *testing.T) {
 	limits := ListenerLimits{Connections: 2, HeaderBytes: 4096, BodyBytes: 500, HeaderTimeout: 200 * time.Millisecond, BodyTimeout: 200 * time.Millisecond}
 	_, url := serveLoopback(t, limits, func(w http.ResponseWriter, r *http.Request) { respondWith(w, r, "x", 1) })
@@ -159,7 +159,8 @@
 	}
 }
 
-// TestShutdownOverTCP guards against responses that are truncated on the way to callers when the listener closes.
+// TestShutdownOverTCP guards against responses that are truncated on the way to callers when the listener closes, and
+// against a listener that stays open after the shutdown.
 func TestShutdownOverTCP(t *testing.T) {
 	g, url := serveLoopback(t, ListenerLimits{}, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(400 * time.Millisecond)
@@ -189,7 +190,7 @@
 	}
 	for range cap(outcomes) {
 		if got := <-outcomes; got != "completedx<nil>" {
-			t.Errorf("caller got %q", got)
+			t.Errorf("got %q, want outcome completed, body x and no error", got)
 		}
 	}
 	if _, err := sendHTTP("GET", url+"/readyz", ""); err == nil {
@@ -218,7 +219,7 @@
 		b.send(testRequest{account: "orders", method: "POST", key: a.newKey("orders"),
 			header: http.Header{"Traceparent": {"00-" + id + "-b7ad6b7169203331-01"}}})
 		if !strings.Contains(seen, id) {
-			t.Errorf("endpoint got traceparent %q", seen)
+			t.Errorf("endpoint got traceparent %q without the trace id of the caller", seen)
 		}
 	})
 	var names []string
--- a/gateway/snapshot.go
+++ b/gateway/snapshot.go
@@ -12,23 +12,24 @@
 	"github.com/redwingthread/redwingthread/routing"
 )
 
-// snapshot is a configuration document with an index of its accounts by token digest.
+// snapshot is a configuration document with an index of its accounts.
 type snapshot struct {
-	doc      *config.Document
-	accounts map[string]config.Account
+	doc *config.Document
+	// accountsByDigest holds the accounts by the SHA-256 digest of their token, in hexadecimal.
+	accountsByDigest map[string]config.Account
 }
 
-// newSnapshot returns a snapshot of the document.
+// newSnapshot returns the document with its index.
 func newSnapshot(doc *config.Document) *snapshot {
-	s := &snapshot{doc: doc, accounts: make(map[string]config.Account, len(doc.Accounts))}
+	s := &snapshot{doc: doc, accountsByDigest: make(map[string]config.Account, len(doc.Accounts))}
 	for name, account := range doc.Accounts {
 		account.Name = name
-		s.accounts[account.TokenDigest] = account
+		s.accountsByDigest[account.TokenDigest] = account
 	}
 	return s
 }
 
-// current returns the configuration in force, nil while there is none. It applies a new document first.
+// current returns the configuration in force, nil while there is none. It first applies the document if it is new.
 func (g *Gateway) current() *snapshot {
 	doc := g.options.Config()
 	s := g.snapshot.Load()
@@ -53,7 +54,8 @@
 	return s
 }
 
-// refresh applies a new configuration and takes a seat if one is free.
+// refresh applies a new configuration and takes a seat if one is free, that is, if there are no more live gateways than
+// seats.
 func (g *Gateway) refresh() {
 	s := g.current()
 	if s == nil || g.seated.Load() {
@@ -98,7 +100,7 @@
 		return config.Account{}, errkind.New(errkind.Unauthenticated, tokenRemedy, "request has no bearer token")
 	}
 	digest := sha256.Sum256([]byte(strings.TrimSpace(token)))
-	account, ok := s.accounts[hex.EncodeToString(digest[:])]
+	account, ok := s.accountsByDigest[hex.EncodeToString(digest[:])]
 	if !ok {
 		return config.Account{}, errkind.New(errkind.Unauthenticated, tokenRemedy, "token does not match any account")
 	}
--- a/gateway/telemetry.go
+++ b/gateway/telemetry.go
@@ -15,22 +15,30 @@
 
 // meters holds the metrics of a gateway.
 type meters struct {
-	completed   metrics.Counter
-	notRun      metrics.Counter
-	unknown     metrics.Counter
-	retries     metrics.Counter
-	forwarded   metrics.Counter
-	replayed    metrics.Counter
-	aborted     metrics.Counter
-	latency     metrics.Histogram
-	active      metrics.Gauge
-	queued      metrics.Gauge
+	// completed, notRun and unknown count the responses to callers by outcome.
+	completed metrics.Counter
+	notRun    metrics.Counter
+	unknown   metrics.Counter
+	retries   metrics.Counter
+	// forwarded counts the requests sent to the gateway that issued their key, replayed the responses from a stored
+	// result, aborted the caller connections that were closed because a streamed body was incomplete.
+	forwarded metrics.Counter
+	replayed  metrics.Counter
+	aborted   metrics.Counter
+	// latency is the time to a completed response in microseconds.
+	latency metrics.Histogram
+	// active and queued are the numbers of accepted requests in progress and of requests that wait for a slot.
+	active metrics.Gauge
+	queued metrics.Gauge
+	// connections is the number of open connections to endpoints.
 	connections metrics.Gauge
-	keys        metrics.Gauge
-	keyBytes    metrics.Gauge
-	keyRanges   metrics.Gauge
-	ejected     metrics.Gauge
-	leaving     metrics.Gauge
+	// keys, keyBytes and keyRanges are the results of request.Table.Size.
+	keys      metrics.Gauge
+	keyBytes  metrics.Gauge
+	keyRanges metrics.Gauge
+	// ejected is the number of ejected and unreachable endpoints, leaving that of leaving ones.
+	ejected metrics.Gauge
+	leaving metrics.Gauge
 }
 
 // newMeters registers the metrics.
@@ -55,7 +63,7 @@
 	}
 }
 
-// countResponse counts the response to a request and records the latency of a completed one.
+// countResponse counts the response to a request by its outcome and records the latency of a completed one.
 func (m *meters) countResponse(outcome request.Outcome, took time.Duration) {
 	switch outcome {
 	case request.Completed:
@@ -114,9 +122,9 @@
 	g.requestEvent(ctx, c, resp, took).Str("from", from.VM).Msg("forwarded request answered")
 }
 
-// requestEvent returns a log event with the ids and the outcome of a request, nil if logging is disabled.
+// requestEvent returns a log event with the ids and the outcome of a request, nil if the log level disables it.
 func (g *Gateway) requestEvent(ctx context.Context, c *callerRequest, resp callerResponse, took time.Duration) *zerolog.Event {
-	event := g.options.Log.Info()
+	event := g.options.Logger.Info()
 	if event == nil {
 		return nil
 	}
