--- a/routing/choose.go
+++ b/routing/choose.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The age at which a load report counts half is reportHalfLifeExchanges times the mean exchange time, or
+// The age at which a load report has half its weight is reportHalfLifeExchanges times the mean exchange time, or
 // defaultReportHalfLife while that time is unknown. Reports must lose weight: a gateway that sends an endpoint nothing
-// gets no new report, and would otherwise never use an endpoint again that was reported as full. With a fixed age of
-// 100 to 500 ms, exchanges of 50 ms left free slots unused at 90% load.
+// gets no new report, and would otherwise never use an endpoint again that was reported as full. A fixed age much
+// longer than an exchange would leave free slots unused.
 const (
 	defaultReportHalfLife   = 50 * time.Millisecond
 	reportHalfLifeExchanges = 2
@@ -57,8 +57,8 @@
 }
 
 // choose picks an endpoint of the gateway's failure domain. It picks one of another failure domain only if no local
-// endpoint is usable at all. If the local endpoints are merely full, the request waits: spilling over would use up the
-// capacity of the other failure domains as well.
+// endpoint is usable at all. If the local endpoints are merely full, the request waits: sending requests to other
+// failure domains would use up their capacity as well. probe reports whether the exchange probes an ejected endpoint.
 func (t *Table) choose(s *service, exclude []string, mayProbe bool, now time.Time) (e *endpoint, probe bool) {
 	if mayProbe && len(exclude) == 0 {
 		if e := t.endpointToProbe(s, now); e != nil {
@@ -97,18 +97,19 @@
 // candidates returns the usable endpoints that match, with or without a free slot. The slice is valid until the next
 // call.
 func (t *Table) candidates(s *service, match func(*endpoint) bool) []*endpoint {
-	s.candidates = s.candidates[:0]
+	s.candidateBuffer = s.candidateBuffer[:0]
 	for _, e := range s.endpoints {
 		if match(e) && t.eligible(e) && (t.unsafe.Health || e.health.state == usable) {
-			s.candidates = append(s.candidates, e)
+			s.candidateBuffer = append(s.candidateBuffer, e)
 		}
 	}
-	return s.candidates
+	return s.candidateBuffer
 }
 
-// eligible reports whether the endpoint is neither drained nor leaving and this gateway may open connections to it.
+// eligible reports whether no drain of the endpoint is configured, it is not leaving, and this gateway may open
+// connections to it.
 func (t *Table) eligible(e *endpoint) bool {
-	if e.connections == 0 || e.drained {
+	if e.connections == 0 || e.drainRequested {
 		return false
 	}
 	_, leaving := t.leaving.since(e)
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/redwingthread/redwingthread/routing"
 )
 
-// Done returns each choice with the result of its exchange. An endpoint that reports that it is leaving gets no more
+// Each choice is passed to Done with the result of its exchange. An endpoint that reports that it is leaving gets no more
 // requests.
 func ExampleTable() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/routing/health.go
+++ b/routing/health.go
@@ -54,13 +54,17 @@
 	// until is the end of an ejection, or the time of the next connection probe of an unreachable endpoint.
 	until time.Time
 	// probing is true while a probe is in progress.
-	probing             bool
+	probing bool
+	// connectFailures and consecutiveFailures are the numbers of consecutive failed connection attempts and exchanges.
 	connectFailures     int
 	consecutiveFailures int
-	samples             int
-	failureShare        float64
+	// samples is the number of exchanges in the averages since the last ejection.
+	samples int
+	// failureShare is the moving average of the share of failed exchanges, from 0 to 1.
+	failureShare float64
 	// exchangeTime is the moving average of the duration of an exchange.
 	exchangeTime time.Duration
+	// ejections is the number of ejections that count for the duration of the next one.
 	ejections    int
 	lastEjection time.Time
 	// outages holds the times at which the endpoint recently became unreachable.
@@ -95,6 +99,7 @@
 // reported load of 0.
 type Report struct {
 	Kind ResultKind
+	// Took is the duration of the exchange, 0 if it is not to be averaged.
 	Took time.Duration
 	// Inflight is the number of exchanges that the endpoint reported, -1 if it reported none.
 	Inflight int
@@ -139,7 +144,8 @@
 		h.connectFailures, h.consecutiveFailures = 0, 0
 		h.sample(0, r.Took)
 	case Rejected:
-		// This counts half: a full endpoint rejects some requests, but one that rejects all of them must be ejected.
+		// A rejection counts as half a failure: a full endpoint rejects some requests, but one that rejects all of them
+		// must be ejected.
 		h.connectFailures = 0
 		h.consecutiveFailures++
 		h.sample(0.5, 0)
--- a/routing/leaving.go
+++ b/routing/leaving.go
@@ -8,18 +8,18 @@
 	"github.com/redwingthread/redwingthread/inner"
 )
 
-// LeavingBound is the maximum time after the first sign that an endpoint is leaving during which it may still get
-// requests.
+// LeavingBound is the maximum time during which an endpoint may still get requests, from the time at which this gateway
+// first learned that the endpoint is leaving.
 const LeavingBound = 3 * time.Second
 
 // minListedLive is the time for which the VM list must continuously show a leaving endpoint as live before the endpoint
-// is asked for its incarnation. The list lags and can go back and forth, so it never suffices by itself.
+// is asked for its incarnation. The list lags and may revert to older states, so it never suffices by itself.
 const minListedLive = 10 * time.Second
 
 // leavingProbeInterval is the interval between probes of a leaving endpoint.
 const leavingProbeInterval = time.Second
 
-// maxRetired is the maximum number of replaced incarnations remembered per endpoint.
+// maxRetired is the maximum number of replaced incarnations kept per endpoint.
 const maxRetired = 8
 
 // incarnation is the known state of the current incarnation of an endpoint.
@@ -36,11 +36,12 @@
 	probeAt time.Time
 }
 
-// leavingSet maps leaving endpoint incarnations to the time of the first sign. An incarnation stays marked as
-// leaving: only a new incarnation of the endpoint gets requests again.
+// leavingSet maps leaving endpoint incarnations to the time at which this gateway first learned that they are leaving. An
+// incarnation stays marked as leaving: only a new incarnation of the endpoint gets requests again.
 type leavingSet map[inner.EndpointIncarnation]time.Time
 
-// name returns the full name of the current incarnation of an endpoint.
+// name returns the service, the endpoint id and the current incarnation of an endpoint. The incarnation is empty until
+// it is known.
 func (e *endpoint) name() inner.EndpointIncarnation {
 	return inner.EndpointIncarnation{Service: e.service.name, Endpoint: e.config.ID, Incarnation: e.incarnation.id}
 }
@@ -117,7 +118,7 @@
 	}
 }
 
-// learnOtherIncarnation marks an incarnation that is not the current one as known to this gateway.
+// learnOtherIncarnation marks an incarnation as leaving that is not the one that this gateway knows as the current one.
 func (t *Table) learnOtherIncarnation(e *endpoint, name inner.EndpointIncarnation, now time.Time) {
 	for _, old := range e.incarnation.retired {
 		if old == name.Incarnation {
@@ -194,7 +195,7 @@
 func (t *Table) applyDrains(doc *config.Document) {
 	for _, s := range t.services {
 		for _, e := range s.endpoints {
-			_, e.drained = doc.Drains[e.config.ID]
+			_, e.drainRequested = doc.Drains[e.config.ID]
 		}
 	}
 }
--- a/routing/table.go
+++ b/routing/table.go
@@ -33,9 +33,12 @@
 
 // Rules selects rules of a Table.
 type Rules struct {
+	// Leaving is the rule that leaving endpoints get no requests.
 	Leaving bool
-	Health  bool
-	Bound   bool
+	// Health is the rule that unreachable and ejected endpoints get no requests.
+	Health bool
+	// Bound is the rule that an endpoint without a free slot or connection gets no requests.
+	Bound bool
 }
 
 // UnsafeIgnore disables rules. Only tests call it, to show that their checks detect the missing rules.
@@ -46,9 +49,10 @@
 	name      string
 	endpoints []*endpoint
 	byID      map[string]*endpoint
-	ejected   int
-	// candidates is scratch space of Pick.
-	candidates []*endpoint
+	// ejected is the number of ejected endpoints.
+	ejected int
+	// candidateBuffer is a buffer that Pick reuses between calls.
+	candidateBuffer []*endpoint
 }
 
 // endpoint is one endpoint with its load, health and leaving state.
@@ -62,8 +66,8 @@
 	load        load
 	health      health
 	incarnation incarnation
-	// drained is true while an operator drains the endpoint.
-	drained bool
+	// drainRequested is true while the configuration drains the endpoint.
+	drainRequested bool
 }
 
 // Choice is an endpoint chosen for one exchange. It must be passed to Done exactly once.
@@ -183,7 +187,7 @@
 		return
 	}
 	invariant.Check(now.Sub(since) <= LeavingBound, invariant.LeavingGetsNoWork,
-		"endpoint %s of service %s gets a request %s after the first sign that it leaves", c.Endpoint, c.Service,
+		"endpoint %s of service %s gets a request %s after the gateway learned that it is leaving", c.Endpoint, c.Service,
 		now.Sub(since))
 }
 
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// TestEjection guards against endpoints that keep getting requests although they fail, are slow or are unreachable.
+// TestEjection guards against endpoints that keep getting requests although they fail, are slow or are unreachable, and
+// against a service without a usable endpoint because of a single bad one.
 func TestEjection(t *testing.T) {
 	bad := map[string]func(round int, id string) Report{
 		"failing":      func(int, string) Report { return Report{Kind: Failed, Inflight: -1} },
@@ -98,12 +99,13 @@
 		}
 	}
 	if n == 0 || n > 6 {
-		t.Errorf("%d of 20 endpoints are ejected, bound 30%%", n)
+		t.Errorf("%d of 20 endpoints are ejected, want 1 to 6 (30%%)", n)
 	}
 }
 
-// TestProbing guards against a request that is not idempotent serving as a probe, and against more than one probe of an
-// endpoint at a time.
+// TestProbing guards against a request that is not idempotent serving as a probe, against more than one probe of an
+// endpoint at a time, and against a probe without an effect: a failed one must eject the endpoint for longer, and a
+// successful one must make it usable.
 func TestProbing(t *testing.T) {
 	table := testTable(8, 64)
 	eject := func(now time.Time) {
@@ -118,7 +120,7 @@
 	}
 	probe, _ := table.Pick("s", nil, true, now)
 	if second, _ := table.Pick("s", nil, true, now); !probe.Probe || second.Probe {
-		t.Fatalf("got probes %v and %v", probe, second)
+		t.Fatalf("got choices %v and %v, want only the first to be a probe", probe, second)
 	}
 	table.Done(probe, Report{Kind: Failed, Inflight: -1}, now)
 	if c, _ := table.Pick("s", nil, true, now.Add(ejectBase)); c.Probe {
@@ -127,7 +129,7 @@
 	probe, _ = table.Pick("s", nil, true, now.Add(2*ejectBase))
 	table.Done(probe, Report{Took: time.Millisecond, Inflight: -1}, now.Add(2*ejectBase))
 	if !probe.Probe || table.Status()[0].Ejected {
-		t.Errorf("got probe %v, status %v", probe, table.Status()[0])
+		t.Errorf("got choice %v and status %v, want a probe and an endpoint that is not ejected", probe, table.Status()[0])
 	}
 }
 
@@ -142,13 +144,13 @@
 	for i, r := range []ProbeResult{{Connected: true}, {Connected: true, Incarnation: "i"}} {
 		due := table.Probes(now)
 		if len(due) != 1 || !due[0].QueryIncarnation || len(table.Probes(now)) != 0 {
-			t.Fatalf("round %d: got probes %v", i, due)
+			t.Fatalf("round %d: got probes %v, want one that queries the incarnation", i, due)
 		}
 		table.ProbeDone(due[0], r, now)
 		now = now.Add(2*ejectBase + probeGrace)
 	}
 	if table.Status()[0].Ejected {
-		t.Error("endpoint is ejected after a good probe")
+		t.Error("endpoint is ejected after a successful probe")
 	}
 }
 
