--- a/request/key.go
+++ b/request/key.go
@@ -2,8 +2,8 @@
 // requests.
 //
 // A key names the gateway incarnation that issued it. Only that incarnation may dispatch a request with the key, so a
-// key runs at most once without coordination between gateways: the record of which keys ran and the right to run them
-// are lost together.
+// key runs at most once without coordination between gateways: if the incarnation ends, its record of used keys is lost,
+// but no other incarnation may run those keys either.
 //
 // The package does no I/O, reads no clock and starts no goroutines. A Table is not safe for concurrent use.
 package request
@@ -53,7 +53,7 @@
 // 2^-128.
 const macBytes = 16
 
-// maxKeyLength is the maximum length of the text form in bytes.
+// maxKeyLength is the maximum length of the text form of a key, in bytes.
 const maxKeyLength = 512
 
 const keyRemedy = "get a key with POST /v1/keys and send it unchanged"
--- a/request/table.go
+++ b/request/table.go
@@ -61,7 +61,7 @@
 // Decision is the result of Table.Begin.
 type Decision struct {
 	Action Action
-	// Attempts is set if Action is Run. The caller owns it until Finish.
+	// Attempts is set if Action is Run. Until Finish, only the code that runs the request may use it.
 	Attempts *Attempts
 	// Result is set if Action is Replay.
 	Result Result
@@ -93,13 +93,15 @@
 	account     string
 	fingerprint Fingerprint
 	attempts    Attempts
-	done        bool
-	result      Result
-	size        int
-	// stored and storedBy are the elements of the entry in Table.order and in the account's order. They are nil until
-	// the result is stored.
-	stored   *list.Element
-	storedBy *list.Element
+	// done is true once result is stored.
+	done   bool
+	result Result
+	// size is the estimated memory of the stored result, in bytes.
+	size int
+	// stored and storedInAccount are the elements of the entry in Table.order and in the account's order. They are nil
+	// until the result is stored.
+	stored          *list.Element
+	storedInAccount *list.Element
 }
 
 // accountEntries lists the stored entries of one account, oldest first, with their total size in bytes.
@@ -117,14 +119,15 @@
 	// next is the sequence number of the next key.
 	next uint64
 	// used holds the sequence numbers of keys that were begun or have become unusable.
-	used    IntervalSet
+	used IntervalSet
+	// entries holds the keys that are running or have a stored result, by sequence number.
 	entries map[uint64]*entry
 	// order lists the stored entries, oldest first.
 	order *list.List
 	// stored is the total size of the stored entries in bytes.
 	stored int
-	// storedBy holds the stored entries of each account.
-	storedBy map[string]*accountEntries
+	// storedByAccount holds the stored entries of each account by its name.
+	storedByAccount map[string]*accountEntries
 	// allowReuse is set by UnsafeAllowReuse.
 	allowReuse bool
 }
@@ -132,13 +135,13 @@
 // NewTable returns an empty table. The secret must be random and must not be used beyond the incarnation.
 func NewTable(owner Owner, secret []byte, limits Limits) *Table {
 	return &Table{
-		owner:    owner,
-		signer:   newSigner(secret),
-		limits:   limits,
-		next:     1,
-		entries:  map[uint64]*entry{},
-		order:    list.New(),
-		storedBy: map[string]*accountEntries{},
+		owner:           owner,
+		signer:          newSigner(secret),
+		limits:          limits,
+		next:            1,
+		entries:         map[uint64]*entry{},
+		order:           list.New(),
+		storedByAccount: map[string]*accountEntries{},
 	}
 }
 
@@ -232,13 +235,13 @@
 	if result.Response != nil {
 		e.size += result.Response.size()
 	}
-	own, ok := t.storedBy[e.account]
+	own, ok := t.storedByAccount[e.account]
 	if !ok {
 		own = &accountEntries{}
-		t.storedBy[e.account] = own
+		t.storedByAccount[e.account] = own
 	}
 	e.stored = t.order.PushBack(e)
-	e.storedBy = own.order.PushBack(e)
+	e.storedInAccount = own.order.PushBack(e)
 	t.stored += e.size
 	own.bytes += e.size
 	t.evict(own)
@@ -258,11 +261,11 @@
 func (t *Table) remove(e *entry) {
 	t.order.Remove(e.stored)
 	t.stored -= e.size
-	own := t.storedBy[e.account]
-	own.order.Remove(e.storedBy)
+	own := t.storedByAccount[e.account]
+	own.order.Remove(e.storedInAccount)
 	own.bytes -= e.size
 	if own.bytes == 0 {
-		delete(t.storedBy, e.account)
+		delete(t.storedByAccount, e.account)
 	}
 	delete(t.entries, e.sequence)
 }
@@ -274,7 +277,7 @@
 }
 
 // Attempts tracks the attempts to dispatch one request. The zero value is a request that was not dispatched. It is not
-// safe for concurrent use, but can be used without synchronization with its Table.
+// safe for concurrent use, but can be used without synchronisation with its Table.
 type Attempts struct {
 	// Idempotent is set for idempotent requests, which may be dispatched again after an attempt without a response.
 	Idempotent bool
--- a/request/table_test.go
+++ b/request/table_test.go
@@ -23,7 +23,7 @@
 		ranges := 0
 		for n := uint64(0); n <= 61; n++ {
 			if set.Contains(n) != model[n] {
-				t.Fatalf("Contains(%d) gave %v", n, set.Contains(n))
+				t.Fatalf("Contains(%d) returned %v, want the opposite", n, set.Contains(n))
 			}
 			if model[n] && (n == 0 || !model[n-1]) {
 				ranges++
@@ -35,7 +35,7 @@
 		set.CloseOldestGap()
 		for n := range model {
 			if !set.Contains(n) {
-				t.Fatalf("%d is lost after CloseOldestGap", n)
+				t.Fatalf("%d is not in the set after CloseOldestGap", n)
 			}
 		}
 	})
@@ -49,19 +49,20 @@
 	key := NewTable(testOwner, []byte("secret"), DefaultLimits()).Issue("orders")
 	parsed, err := Parse(key.String())
 	if err != nil || parsed.Owner != testOwner || parsed.Sequence != key.Sequence {
-		t.Fatalf("got %+v, %v", parsed, err)
+		t.Fatalf("got key %+v, error %v, want the owner and sequence number of the formatted key", parsed, err)
 	}
 	for name, text := range map[string]string{
 		"empty": "", "few parts": "a/b/c/1", "no owner": "/b/c/1/AAAAAAAAAAAAAAAAAAAAAA",
 		"no number": "a/b/c/x/AAAAAAAAAAAAAAAAAAAAAA", "short MAC": "a/b/c/1/AAAA",
 	} {
 		if _, err := Parse(text); !errkind.Is(err, errkind.BadInput) {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got error %v, want a BadInput error", name, err)
 		}
 	}
 }
 
-// TestBegin guards against a key that runs twice, for another account, or with other content.
+// TestBegin guards against a key that runs twice, for another account, or with other content, against a wrong outcome,
+// and against a table that grows above its limits.
 func TestBegin(t *testing.T) {
 	content := Fingerprint{Method: "POST", Path: "scan/x"}
 	other := Fingerprint{Method: "POST", Path: "scan/y"}
@@ -119,7 +120,7 @@
 			t.Errorf("%s: got action %d outcome %q error %v", name, d.Action, outcome, err)
 		}
 		if _, bytes, ranges := table.Size(); bytes > 5000 || ranges > 4 {
-			t.Errorf("%s: table holds %d bytes and %d ranges", name, bytes, ranges)
+			t.Errorf("%s: table holds %d bytes and %d ranges, want at most 5000 and 4", name, bytes, ranges)
 		}
 	}
 }
@@ -130,7 +131,7 @@
 	table := NewTable(testOwner, []byte("secret"), DefaultLimits())
 	foreign := NewTable(Owner{"fd/a", "vm-1", "i-0"}, []byte("secret"), DefaultLimits()).Issue("orders")
 	if _, outcome, err := table.Begin("orders", foreign, Fingerprint{}); err == nil || outcome != Unknown {
-		t.Fatalf("got outcome %q, %v", outcome, err)
+		t.Fatalf("got outcome %q, error %v, want unknown and an error", outcome, err)
 	}
 }
 
