--- a/admission/budget.go
+++ b/admission/budget.go
@@ -11,6 +11,7 @@
 // Budgets holds the retry budgets of the client accounts. Without a limit, retries would multiply the load just when
 // endpoints are overloaded.
 type Budgets struct {
+	// tokens holds the retries left by account; accounts without an entry have maxSavedRetries.
 	tokens map[string]float64
 }
 
--- a/admission/estimate.go
+++ b/admission/estimate.go
@@ -51,7 +51,8 @@
 type average struct {
 	value time.Duration
 	low   time.Duration
-	set   bool
+	// set is true once there is a sample.
+	set bool
 }
 
 // add adds a sample.
@@ -65,7 +66,7 @@
 		a.low = sample
 		return
 	}
-	// The envelope rises slowly, so that a single short service time does not hold it down forever.
+	// The envelope rises slowly, so that a single short service time does not keep the estimate low permanently.
 	a.low += time.Duration(averageWeight / 10 * float64(sample-a.low))
 }
 
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -18,8 +18,8 @@
 	// WaitPercent is the maximum expected wait of a request, in percent of the time until its deadline, if its account
 	// has the longest queue relative to its weight. The rest is a margin for errors of the estimate.
 	WaitPercent int
-	// ShortWaitPercent is the same for the other accounts. Their queues are short and drain by themselves, so rejecting
-	// their requests early gains little.
+	// ShortWaitPercent is the same for the other accounts. Their queues are short and become empty without rejections, so
+	// rejecting their requests early gains little.
 	ShortWaitPercent int
 }
 
@@ -49,13 +49,14 @@
 	head  int
 	// waiting is the number of waiting requests of the account.
 	waiting int
-	// finish is the virtual finish time of the account's last dispatched request.
+	// finish is the virtual finish time of the account's last dispatched request. A request takes 1/weight of virtual
+	// time.
 	finish float64
 }
 
 // Queue is a bounded queue that shares capacity between client accounts by weight (start-time fair queueing with equal
-// cost per request). Each service has its own queue. The caller must respond to every request that Offer rejects or
-// evicts and that Next drops.
+// cost per request). Each service has its own queue. The user of the queue must respond to every request that Offer
+// rejects or evicts and to every request that Next drops.
 type Queue[T any] struct {
 	limits   Limits
 	weights  func(account string) int
@@ -66,8 +67,10 @@
 	waiting int
 	// virtual is the virtual start time of the last dispatched request.
 	virtual float64
-	rate    rate
-	service average
+	// rate is the dispatch rate of all accounts.
+	rate rate
+	// serviceTimes is the average of the serviceTimes times passed to Served.
+	serviceTimes average
 	// unbounded is set by UnsafeUnbounded.
 	unbounded bool
 }
@@ -120,7 +123,7 @@
 	return evicted, nil
 }
 
-// account returns the queue of an account, creating it if needed, and updates its weight.
+// account returns the queue of an account, creates it if needed, and updates its weight.
 func (q *Queue[T]) account(name string) *account[T] {
 	a, ok := q.accounts[name]
 	if !ok {
@@ -181,7 +184,7 @@
 	for q.waiting > 0 {
 		a := q.furthestBehind()
 		item := a.first()
-		late := !q.unbounded && now.Add(q.service.minimum()).After(item.Deadline)
+		late := !q.unbounded && now.Add(q.serviceTimes.minimum()).After(item.Deadline)
 		if !late && !accept(item) {
 			return nil, dropped
 		}
@@ -247,7 +250,7 @@
 }
 
 // Served records the service time of a completed request.
-func (q *Queue[T]) Served(took time.Duration) { q.service.add(took) }
+func (q *Queue[T]) Served(took time.Duration) { q.serviceTimes.add(took) }
 
 // Len returns the number of waiting requests.
 func (q *Queue[T]) Len() int { return q.waiting }
@@ -273,9 +276,9 @@
 	if longest := q.longest(); longest == nil || longest == a {
 		percent = q.limits.WaitPercent
 	}
-	left := item.Deadline.Sub(now) - q.service.mean()
+	left := item.Deadline.Sub(now) - q.serviceTimes.mean()
 	return left * time.Duration(percent) / 100
 }
 
 // ServiceTime returns the mean service time, 0 if none was recorded.
-func (q *Queue[T]) ServiceTime() time.Duration { return q.service.mean() }
+func (q *Queue[T]) ServiceTime() time.Duration { return q.serviceTimes.mean() }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -48,20 +48,20 @@
 	rejected, evicted := 0, 0
 	for _, account := range []string{"flood", "a"} {
 		for range 12 {
-			out, err := q.Offer(item(account, time.Hour), start)
+			victim, err := q.Offer(item(account, time.Hour), start)
 			if errkind.Is(err, errkind.Overloaded) {
 				rejected++
 			}
-			if out != nil {
+			if victim != nil {
 				evicted++
-				if out.Account != "flood" {
-					t.Errorf("request of %s was evicted", out.Account)
+				if victim.Account != "flood" {
+					t.Errorf("request of %s was evicted, want only requests of flood", victim.Account)
 				}
 			}
 		}
 	}
 	if q.Len() != 10 || rejected != 11 || evicted != 3 {
-		t.Errorf("got %d waiting, %d rejected, %d evicted", q.Len(), rejected, evicted)
+		t.Errorf("got %d waiting, %d rejected, %d evicted, want 10, 11 and 3", q.Len(), rejected, evicted)
 	}
 }
 
@@ -70,14 +70,14 @@
 func TestDeadlines(t *testing.T) {
 	q := NewQueue[int](DefaultLimits(), func(string) int { return 1 })
 	if _, err := q.Offer(item("a", 0), start); !errkind.Is(err, errkind.DeadlineExceeded) {
-		t.Errorf("late request got %v", err)
+		t.Errorf("request past its deadline: got error %v, want a DeadlineExceeded error", err)
 	}
 	q.Served(100 * time.Millisecond)
 	q.Offer(item("a", 150*time.Millisecond), start)
 	q.Offer(item("a", time.Second), start)
 	next, dropped := q.Next(start.Add(100*time.Millisecond), accept)
 	if len(dropped) != 1 || next == nil || q.Len() != 0 {
-		t.Errorf("got %v, dropped %d", next, len(dropped))
+		t.Errorf("got request %v, %d dropped, want one dispatched and one dropped", next, len(dropped))
 	}
 	// Requests are dispatched at 10 per second, so 20 waiting ones take 2 s.
 	now := start
@@ -91,22 +91,23 @@
 	}
 	soon := &Item[int]{Account: "a", Deadline: now.Add(2 * time.Second)}
 	if _, err := q.Offer(soon, now); !errkind.Is(err, errkind.Overloaded) {
-		t.Errorf("request that must wait too long got %v", err)
+		t.Errorf("request that must wait too long: got error %v, want an Overloaded error", err)
 	}
 	// Another account gets half of the rate.
 	other := &Item[int]{Account: "b", Deadline: now.Add(2 * time.Second)}
 	if _, err := q.Offer(other, now); err != nil {
-		t.Errorf("request of an account without backlog got %v", err)
+		t.Errorf("request of an account without backlog: got error %v, want none", err)
 	}
 }
 
-// TestUnacceptedRequestStays guards against a request that is lost when no slot is free for it.
+// TestUnacceptedRequestStays guards against a request that is lost when no slot is free for it, and against a request
+// that is dispatched after its removal.
 func TestUnacceptedRequestStays(t *testing.T) {
 	q := NewQueue[int](DefaultLimits(), func(string) int { return 1 })
 	first := item("a", time.Hour)
 	q.Offer(first, start)
 	if next, _ := q.Next(start, func(*Item[int]) bool { return false }); next != nil || q.Len() != 1 {
-		t.Errorf("got %v, %d waiting", next, q.Len())
+		t.Errorf("got request %v, %d waiting, want none and 1", next, q.Len())
 	}
 	if !q.Remove(first) || q.Remove(first) || q.Len() != 0 {
 		t.Error("waiting request could not be removed once")
@@ -128,7 +129,7 @@
 		}
 	}
 	if retries < 200 || retries > 200+maxSavedRetries {
-		t.Errorf("%d retries for 1000 first attempts at 20%%", retries)
+		t.Errorf("%d retries for 1000 first attempts at 20%%, want 200 and at most the saved ones more", retries)
 	}
 	if !b.Retry("b") {
 		t.Error("new account cannot retry")
@@ -145,9 +146,9 @@
 	}
 	q.Remove(removed)
 	if _, err := q.Offer(removed, start); !errkind.Is(err, errkind.Internal) {
-		t.Fatalf("second offer gave %v", err)
+		t.Fatalf("second offer: got error %v, want an Internal error", err)
 	}
 	if next, _ := q.Next(start, accept); next != nil {
-		t.Fatalf("got %+v", next)
+		t.Fatalf("got request %+v, want none", next)
 	}
 }
