--- a/endpoint/check.go
+++ b/endpoint/check.go
@@ -68,7 +68,7 @@
 	return "sha-256=:" + base64.StdEncoding.EncodeToString(digest[:]) + ":"
 }
 
-// checkBody checks the length and the digest of a buffered body.
+// checkBody checks the length in bytes and the SHA-256 digest of a buffered body.
 func checkBody(body []byte, length int64, digest []byte) error {
 	if int64(len(body)) != length {
 		return errInvalidResponse("body has %d bytes instead of %d", len(body), length)
@@ -82,15 +82,19 @@
 
 // bodyStream is the body of a streamed response. It does not return the last bytes until it has checked the digest.
 type bodyStream struct {
-	pool      *pool
-	conn      *conn
-	body      io.Reader
+	pool *pool
+	conn *conn
+	body io.Reader
+	// remaining is the number of bytes that were not read yet.
 	remaining int64
-	digest    []byte
-	sum       hash.Hash
-	reusable  bool
-	done      bool
-	err       error
+	// digest is the SHA-256 digest that the endpoint sent, sum that of the bytes read so far.
+	digest []byte
+	sum    hash.Hash
+	// reusable is true if the connection may be reused after the whole body.
+	reusable bool
+	// done is true once the connection was returned to the pool or closed.
+	done bool
+	err  error
 }
 
 // newStream returns the body of a streamed response. If reusable is set, the connection returns to the pool once the
@@ -122,7 +126,8 @@
 	return n, s.err
 }
 
-// finish makes Read return err from now on. The first call returns the connection to the pool or closes it.
+// finish makes Read return err from now on. The first call returns the connection to the pool if the whole body was valid
+// and the connection may be reused, and closes it otherwise.
 func (s *bodyStream) finish(whole bool, err error) {
 	s.err = err
 	if s.done {
--- a/endpoint/exchange.go
+++ b/endpoint/exchange.go
@@ -77,7 +77,7 @@
 type Response struct {
 	Status int
 	Header http.Header
-	// Body is the complete body unless Stream is set.
+	// Body is the complete body, nil if Stream is set or if the response has no body.
 	Body []byte
 	// Stream is the body of a streamed response, nil otherwise. It must be closed. If the body is incomplete or
 	// corrupted, it returns an error instead of the last bytes.
@@ -100,7 +100,7 @@
 	Reused bool
 	// Inflight is the number of exchanges that the endpoint reported, -1 if it reported none.
 	Inflight int
-	// Incarnation and Leaving are what the endpoint reported about itself.
+	// Incarnation and Leaving are what the endpoint reported about itself; Incarnation is empty if it reported none.
 	Incarnation string
 	Leaving     bool
 	// Took is the duration of the attempt, 0 if it ended before the exchange.
--- a/endpoint/pool.go
+++ b/endpoint/pool.go
@@ -2,7 +2,7 @@
 //
 // It does not use http.Transport, which can replay a request on a new connection without being asked to, and can read a
 // response that belongs to the previous exchange on a reused connection. Here, an attempt writes a request once, on one
-// connection. Any doubt about the response closes the connection, and the caller learns whether any byte was written.
+// connection. Any doubt about the response closes the connection, and the result says whether any byte was written.
 package endpoint
 
 import (
@@ -131,7 +131,7 @@
 	return entry
 }
 
-// errBusy is returned if all connections allowed to an address are in use or the pool is closed.
+// errBusy is the error if all connections allowed to an address are in use or the pool is closed.
 var errBusy = errkind.New(errkind.Overloaded, "retry later with backoff", "all connections to the endpoint are in use")
 
 // get returns an idle connection, or opens one if fewer than maxOpen are open. With forceNew it always opens one.
@@ -153,8 +153,8 @@
 	return newConn(raw), nil
 }
 
-// reserve returns an idle connection. If there is none, it counts a connection as open, which the caller must then
-// open, and returns true for reserved.
+// reserve returns an idle connection, nil if there is none or forceNew is set. It then returns true for reserved if one
+// more connection may be opened. That connection is counted as open already: get must open it or call cancelReservation.
 func (p *pool) reserve(maxOpen int, forceNew bool) (c *conn, reserved bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,14 +179,14 @@
 	return nil, true
 }
 
-// takeIdleLocked removes and returns the idle connection at index i. The caller holds mu.
+// takeIdleLocked removes and returns the idle connection at index i. mu must be held.
 func (p *pool) takeIdleLocked(i int) *conn {
 	c := p.idle[i]
 	p.idle = append(p.idle[:i], p.idle[i+1:]...)
 	return c
 }
 
-// closeConnLocked closes a connection and decrements the number of open ones. The caller holds mu.
+// closeConnLocked closes a connection and decrements the number of open ones. mu must be held.
 func (p *pool) closeConnLocked(c *conn) {
 	c.Conn.Close()
 	p.open--
@@ -209,14 +209,14 @@
 	p.putLocked(c)
 }
 
-// putUnused returns a connection to the pool on which nothing was written.
+// putUnused returns a connection on which nothing was written to the pool.
 func (p *pool) putUnused(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.putLocked(c)
 }
 
-// putLocked adds a connection to the idle ones, or closes it if the pool is closed. The caller holds mu.
+// putLocked adds a connection to the idle ones, or closes it if the pool is closed. mu must be held.
 func (p *pool) putLocked(c *conn) {
 	if p.closed {
 		p.closeConnLocked(c)
--- a/endpoint/pool_test.go
+++ b/endpoint/pool_test.go
@@ -60,7 +60,8 @@
 	})
 }
 
-// TestWritten guards against an attempt that reports that nothing was written although something may have been.
+// TestWritten guards against an attempt that reports that nothing was written although something may have been, against a
+// wrong kind of failure, and against connections that stay open after a failed exchange.
 func TestWritten(t *testing.T) {
 	pools := NewPools(NetDial)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,15 +70,15 @@
 	}
 	l.Close()
 	if r := attempt(pools, l.Addr().String(), "1", 1); r.Failure != NoConnection || r.Written {
-		t.Errorf("refused connection: got %+v", r)
+		t.Errorf("refused connection: got %+v, want NoConnection and nothing written", r)
 	}
 	silent := serve(t, func(net.Conn, *http.Request) bool { time.Sleep(5 * time.Second); return false })
 	if r := attempt(pools, silent, "1", 1); r.Failure != Timeout || !r.Written || pools.Open(silent) != 0 {
-		t.Errorf("silent endpoint: got %+v", r)
+		t.Errorf("silent endpoint: got %+v, want Timeout, a written request and no open connection", r)
 	}
 	closing := serve(t, func(net.Conn, *http.Request) bool { return false })
 	if r := attempt(pools, closing, "1", 1); r.Failure != Broken || !r.Written || pools.Open(closing) != 0 {
-		t.Errorf("closed connection: got %+v", r)
+		t.Errorf("closed connection: got %+v, want Broken, a written request and no open connection", r)
 	}
 }
 
@@ -98,7 +99,7 @@
 		pools := NewPools(NetDial)
 		for i := range 3 {
 			if r := attempt(pools, address, fmt.Sprint(i), 1); r.Failure != NoFailure || string(r.Response.Body) != "b" {
-				t.Errorf("extra %q, attempt %d: got %+v", extra, i, r)
+				t.Errorf("extra %q, attempt %d: got %+v, want a response with body b", extra, i, r)
 			}
 			// Waits until the close or the extra data arrives. The connection may already be closed by the exchange.
 			for _, c := range pools.pools[address].idle {
@@ -111,7 +112,7 @@
 			}
 		}
 		if n := exchanges.Load(); n != 3 {
-			t.Errorf("extra %q: endpoint saw %d requests", extra, n)
+			t.Errorf("extra %q: endpoint got %d requests, want 3", extra, n)
 		}
 	}
 }
@@ -137,7 +138,8 @@
 	}
 	all.Wait()
 	if most.Load() > 4 || busy.Load() != 16 || pools.Open(address) > 4 {
-		t.Errorf("most %d at once, %d busy, %d open", most.Load(), busy.Load(), pools.Open(address))
+		t.Errorf("%d requests at once, %d busy, %d connections open, want at most 4, 16 and at most 4", most.Load(),
+			busy.Load(), pools.Open(address))
 	}
 	pools.Close()
 	if n := pools.OpenTotal(); n != 0 {
@@ -170,7 +172,7 @@
 			t.Errorf("%s: read %d bytes, %v", name, len(got), err)
 		}
 		if kept := pools.Open(address) == 1; kept != whole {
-			t.Errorf("%s: connection kept %v", name, kept)
+			t.Errorf("%s: connection kept: %v, want it only after a whole body", name, kept)
 		}
 	}
 }
--- a/endpoint/probe.go
+++ b/endpoint/probe.go
@@ -12,9 +12,12 @@
 // probeTimeout is the maximum duration of a probe.
 const probeTimeout = time.Second
 
-// ProbeResult is the result of a probe. Incarnation is empty if the endpoint did not report it.
+// ProbeResult is the result of a probe.
 type ProbeResult struct {
-	Connected   bool
+	// Connected reports whether the endpoint accepts connections.
+	Connected bool
+	// Incarnation and Leaving are what the endpoint reported about itself. Incarnation is empty if it was not queried or
+	// not reported.
 	Incarnation string
 	Leaving     bool
 }
