--- a/daemon/base.go
+++ b/daemon/base.go
@@ -21,7 +21,7 @@
 // base holds the components that the gateway and the scheduler daemon have in common.
 type base struct {
 	self      inner.Member
-	log       zerolog.Logger
+	logger    zerolog.Logger
 	keys      *inner.KeyStore
 	mux       *Mux
 	members   *Membership
@@ -46,9 +46,9 @@
 }
 
 // newBase loads the keys and opens the listeners. It starts no goroutines; start does.
-func newBase(common settings.Common, self inner.Member, metricsAddress string, log zerolog.Logger,
+func newBase(common settings.Common, self inner.Member, metricsAddress string, logger zerolog.Logger,
 	callbacks hooks) (*base, error) {
-	b := &base{self: self, log: log, mux: &Mux{}}
+	b := &base{self: self, logger: logger, mux: &Mux{}}
 	var err error
 	b.keys, err = inner.NewKeyStore(inner.KeyFiles{Certificate: common.TLS.Certificate, Key: common.TLS.Key,
 		CA: common.TLS.CA})
@@ -72,7 +72,7 @@
 		Seeds:         seedMembers(common, self.Role),
 		Keys:          b.keys,
 		VMs:           vms,
-		Log:           log,
+		Logger:        logger,
 		FillHeartbeat: func(heartbeat *inner.Heartbeat) { b.fillHeartbeat(heartbeat, callbacks.fillHeartbeat) },
 		OnHeartbeat:   func(heartbeat inner.Heartbeat) { b.onHeartbeat(heartbeat, callbacks.onHeartbeat) },
 		ObserveVMs:    callbacks.observeVMs,
@@ -80,7 +80,7 @@
 	b.follower = configlog.NewFollower(configlog.Settings{
 		Log:         b.logClient,
 		Peers:       b.members.configPeers,
-		Logger:      log,
+		Logger:      logger,
 		Retention:   configlog.Retention{Period: milliseconds(common.Platform.RetentionMS)},
 		CallTimeout: milliseconds(common.Platform.TimeoutMS),
 	})
@@ -115,7 +115,8 @@
 	}
 }
 
-// fillHeartbeat sets the configuration fields of an outgoing heartbeat, then the daemon-specific ones with fillSpecific.
+// fillHeartbeat sets the configuration fields of an outgoing heartbeat, then calls fillSpecific for the fields that only
+// this daemon sets.
 func (b *base) fillHeartbeat(heartbeat *inner.Heartbeat, fillSpecific func(*inner.Heartbeat)) {
 	status := b.follower.Status()
 	heartbeat.HasConfig = status.HasConfig
@@ -137,9 +138,9 @@
 // start runs the common components until ctx ends. The TLS keys are reloaded at the given interval.
 func (b *base) start(ctx context.Context, keyReloadInterval time.Duration) {
 	go b.innerServer.Serve(ctx)
-	go b.metricsServer.Serve(b.log)
+	go b.metricsServer.Serve(b.logger)
 	go b.keys.Watch(ctx, keyReloadInterval, func(err error) {
-		b.log.Error().Err(err).Msg("key reload failed, the previous keys stay in use")
+		b.logger.Error().Err(err).Msg("key reload failed, the previous keys stay in use")
 	})
 	go b.follower.Run(ctx)
 	go b.logConfigVersions(ctx)
@@ -155,13 +156,13 @@
 		case <-ctx.Done():
 			return
 		case doc := <-documents:
-			b.log.Info().Uint64("version", doc.Version).Msg("configuration in force")
+			b.logger.Info().Uint64("version", doc.Version).Msg("configuration in force")
 		}
 	}
 }
 
-// close stops the common components; the daemon's own work must be done before. ctx bounds the wait for requests of
-// peers and of the metrics listener that are in progress.
+// close stops the common components; the daemon's own work must have ended before the call. ctx bounds the wait for
+// requests in progress of peers and of the metrics listener.
 func (b *base) close(ctx context.Context) {
 	b.innerServer.Close(ctx)
 	b.metricsServer.Shutdown(ctx)
@@ -169,7 +170,7 @@
 	flushCtx, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
 	defer cancel()
 	if err := b.flushSpans(flushCtx); err != nil {
-		b.log.Warn().Err(err).Msg("remaining trace spans could not be exported")
+		b.logger.Warn().Err(err).Msg("remaining trace spans could not be exported")
 	}
 }
 
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -28,18 +28,18 @@
 	operatorDecisionTimeout = 10 * time.Second
 )
 
-// RunGateway runs the gateway daemon until ctx ends, then shuts it down gracefully: it reports unready, keeps accepting
-// requests for the balancer's reaction time, completes the accepted ones and closes. The error is typed (package errkind);
-// nil after a graceful shutdown.
-func RunGateway(ctx context.Context, s settings.Gateway, log zerolog.Logger, self inner.Member) error {
-	d := &gatewayDaemon{settings: s, log: log}
+// RunGateway runs the gateway daemon until ctx ends, then shuts it down gracefully: it reports not ready, keeps accepting
+// requests for the load balancer's reaction time, completes the accepted ones and closes. It returns nil after a
+// graceful shutdown and otherwise an error of package errkind.
+func RunGateway(ctx context.Context, s settings.Gateway, logger zerolog.Logger, self inner.Member) error {
+	d := &gatewayDaemon{settings: s, logger: logger}
 	if err := d.open(self); err != nil {
 		return err
 	}
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	d.start(runCtx)
-	log.Info().Str("callers", s.Listen.Callers).Str("operators", s.Listen.Operators).Msg("gateway started")
+	logger.Info().Str("callers", s.Listen.Callers).Str("operators", s.Listen.Operators).Msg("gateway started")
 	<-ctx.Done()
 	return d.stop()
 }
@@ -47,19 +47,19 @@
 // gatewayDaemon holds the components of a running gateway daemon.
 type gatewayDaemon struct {
 	settings       settings.Gateway
-	log            zerolog.Logger
+	logger         zerolog.Logger
 	base           *base
 	gateway        *gateway.Gateway
 	callerListener net.Listener
 	operatorServer *HTTPServer
-	// stopping is set when the graceful shutdown begins; heartbeats then report the gateway as leaving.
+	// stopping is true once the graceful shutdown has begun; heartbeats then report the gateway as leaving.
 	stopping atomic.Bool
 }
 
 // open creates all components and opens the listeners.
 func (d *gatewayDaemon) open(self inner.Member) error {
 	var err error
-	d.base, err = newBase(d.settings.Common, self, d.settings.Listen.Metrics, d.log, hooks{
+	d.base, err = newBase(d.settings.Common, self, d.settings.Listen.Metrics, d.logger, hooks{
 		fillHeartbeat: d.fillHeartbeat,
 		onHeartbeat:   d.onHeartbeat,
 		observeVMs:    func(vms []infra.VM) { d.gateway.ObserveVMs(vms) },
@@ -93,7 +93,7 @@
 		Config:         d.base.follower.Document,
 		Gateways:       d.base.members.liveGateways,
 		PeerRequester:  d.base.members.Client(),
-		Logger:         d.log,
+		Logger:         d.logger,
 		Keys:           keys,
 		Queue:          queue,
 		DrainRequested: d.base.drainRequested,
@@ -119,7 +119,7 @@
 		Configuration:        d.base.follower,
 		Jobs:                 jobsAdapter{service},
 		Peers:                peerView{members: d.base.members, follower: d.base.follower},
-		Logger:               d.log,
+		Logger:               d.logger,
 		BootstrapTokenDigest: d.settings.Bootstrap.OperatorTokenDigest,
 		MaxBodyBytes:         d.settings.Limits.MaxBodyBytes,
 		Timeout:              operatorDecisionTimeout,
@@ -134,10 +134,10 @@
 	d.base.start(ctx, milliseconds(d.settings.TLS.ReloadMS))
 	go d.gateway.Run(ctx)
 	go d.announceLeavingEndpoints(ctx)
-	go d.operatorServer.Serve(d.log)
+	go d.operatorServer.Serve(d.logger)
 	go func() {
 		if err := d.gateway.Serve(d.callerListener); err != nil {
-			d.log.Error().Err(err).Msg("caller listener stopped unexpectedly")
+			d.logger.Error().Err(err).Msg("caller listener stopped unexpectedly")
 		}
 	}()
 }
@@ -146,19 +146,19 @@
 // learn that the gateway is leaving.
 func (d *gatewayDaemon) stop() error {
 	d.stopping.Store(true)
-	d.log.Info().Msg("graceful shutdown started")
+	d.logger.Info().Msg("graceful shutdown started")
 	timeout := milliseconds(d.settings.Shutdown.DrainMS + d.settings.Shutdown.FinishMS)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	err := d.gateway.Shutdown(ctx)
 	d.operatorServer.Shutdown(ctx)
 	d.base.close(ctx)
-	d.log.Info().Err(err).Msg("graceful shutdown finished")
+	d.logger.Info().Err(err).Msg("graceful shutdown finished")
 	return err
 }
 
 // announceLeavingEndpoints sends heartbeats to the gateways as soon as an endpoint is found to be leaving, until ctx ends.
-// Gateways that have not contacted the endpoint since then need not wait for the heartbeat interval.
+// Gateways that have not contacted the endpoint since then learn it without waiting for the heartbeat interval.
 func (d *gatewayDaemon) announceLeavingEndpoints(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/daemon/http.go
+++ b/daemon/http.go
@@ -29,8 +29,7 @@
 }
 
 // ListenHTTP opens address (host:port, TCP) for server. At most maxConnections are open at once; further ones wait in the
-// accept backlog.
-// It returns an Unavailable error that names the setting if the address cannot be opened.
+// accept backlog. It returns an Unavailable error that names the setting if the address cannot be opened.
 func ListenHTTP(address, setting string, server *http.Server, maxConnections int) (*HTTPServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -40,9 +39,9 @@
 }
 
 // Serve accepts connections until Shutdown. It logs an error if accepting fails before that.
-func (s *HTTPServer) Serve(log zerolog.Logger) {
+func (s *HTTPServer) Serve(logger zerolog.Logger) {
 	if err := s.server.Serve(s.listener); err != nil && err != http.ErrServerClosed {
-		log.Error().Err(err).Str("address", s.listener.Addr().String()).Msg("HTTP server stopped unexpectedly")
+		logger.Error().Err(err).Str("address", s.listener.Addr().String()).Msg("HTTP server stopped unexpectedly")
 	}
 }
 
--- a/daemon/main.go
+++ b/daemon/main.go
@@ -33,24 +33,24 @@
 // those of telemetry.NewLogger and RunGateway.
 func StartGateway(ctx context.Context, s settings.Gateway, w io.Writer) error {
 	self := newSelf(s.Common, membership.RoleGateway, s.Listen.Inner)
-	log, err := telemetry.NewLogger(w, s.Log.Level, self)
+	logger, err := telemetry.NewLogger(w, s.Log.Level, self)
 	if err != nil {
 		return err
 	}
-	defer telemetry.LogViolations(log)()
-	return RunGateway(ctx, s, log, self)
+	defer telemetry.LogViolations(logger)()
+	return RunGateway(ctx, s, logger, self)
 }
 
 // StartScheduler runs the scheduler daemon under a new incarnation until ctx ends. It writes log lines to w. Its errors
 // are those of telemetry.NewLogger and RunScheduler.
 func StartScheduler(ctx context.Context, s settings.Scheduler, w io.Writer) error {
 	self := newSelf(s.Common, membership.RoleScheduler, s.Listen.Inner)
-	log, err := telemetry.NewLogger(w, s.Log.Level, self)
+	logger, err := telemetry.NewLogger(w, s.Log.Level, self)
 	if err != nil {
 		return err
 	}
-	defer telemetry.LogViolations(log)()
-	return RunScheduler(ctx, s, log, self)
+	defer telemetry.LogViolations(logger)()
+	return RunScheduler(ctx, s, logger, self)
 }
 
 // newSelf returns the member that describes this process, with a new incarnation.
--- a/daemon/membership.go
+++ b/daemon/membership.go
@@ -35,13 +35,13 @@
 	Seeds []inner.Member
 	Keys  *inner.KeyStore
 	// VMs is the platform's list of VMs.
-	VMs infra.VMList
-	Log zerolog.Logger
+	VMs    infra.VMList
+	Logger zerolog.Logger
 	// FillHeartbeat sets the daemon's state in an outgoing heartbeat.
 	FillHeartbeat func(*inner.Heartbeat)
 	// OnHeartbeat is called with every received heartbeat; it may be nil.
 	OnHeartbeat func(inner.Heartbeat)
-	// ObserveVMs is called with every list of VMs read from the platform; it may be nil.
+	// ObserveVMs is called with every list of VMs that was read from the platform; it may be nil.
 	ObserveVMs func([]infra.VM)
 }
 
@@ -199,7 +199,7 @@
 		m.ExpediteGateways()
 	}
 	if change.Joined {
-		m.options.Log.Info().Str("peer", heartbeat.Member.VM).Str("peer_role", heartbeat.Member.Role).
+		m.options.Logger.Info().Str("peer", heartbeat.Member.VM).Str("peer_role", heartbeat.Member.Role).
 			Str("peer_incarnation", heartbeat.Member.Incarnation).Msg("peer joined or restarted")
 	}
 	if m.options.OnHeartbeat != nil {
--- a/daemon/membership_test.go
+++ b/daemon/membership_test.go
@@ -11,8 +11,8 @@
 	"github.com/redwingthread/redwingthread/inner"
 )
 
-// TestMuxRejectsKindsWithoutHandler guards against a daemon that panics on a kind of request that
-// only the other role handles.
+// TestMuxRejectsKindsWithoutHandler guards against a daemon that panics on a kind of request that only the other role
+// handles.
 func TestMuxRejectsKindsWithoutHandler(t *testing.T) {
 	cases := map[string]*inner.Request{
 		"empty":     {},
@@ -31,24 +31,25 @@
 	}
 }
 
-// TestHeartbeatResponseCarriesOwnState guards against a receiver that sees the sender live while the sender does
-// not see the receiver: one exchange must inform both ends.
+// TestHeartbeatResponseCarriesOwnState guards against a receiver that sees the sender live while the sender does not see
+// the receiver: one exchange must inform both ends. It also guards against a heartbeat without an address that is
+// accepted.
 func TestHeartbeatResponseCarriesOwnState(t *testing.T) {
 	self := NewIncarnation(inner.Member{VM: "vm-1", Role: "gateway", FailureDomain: "fd-a", Address: "127.0.0.1:1"})
 	mux := &Mux{}
 	m := NewMembership(MembershipOptions{
 		Self:          self,
-		Log:           zerolog.Nop(),
+		Logger:        zerolog.Nop(),
 		FillHeartbeat: func(heartbeat *inner.Heartbeat) { heartbeat.ConfigVersion = 7 },
 	}, mux)
 	peer := NewIncarnation(inner.Member{VM: "vm-2", Role: "gateway", FailureDomain: "fd-a", Address: "127.0.0.1:2"})
 	resp, err := mux.Handle(t.Context(), peer, &inner.Request{Heartbeat: &inner.Heartbeat{Member: peer, Ready: true}})
 	if err != nil || resp.Heartbeat.ConfigVersion != 7 || resp.Heartbeat.Member != self {
-		t.Fatalf("got %+v, error %v", resp, err)
+		t.Fatalf("got response %+v, error %v, want the receiver's member and configuration version 7", resp, err)
 	}
 	live := m.Live("gateway")
 	if len(live) != 1 || live[0].Member != peer || time.Since(live[0].LastSeen) > time.Minute {
-		t.Fatalf("live gateways are %+v", live)
+		t.Fatalf("live gateways are %+v, want the sender, seen just now", live)
 	}
 	if _, err := mux.Handle(t.Context(), peer, &inner.Request{Heartbeat: &inner.Heartbeat{}}); err == nil {
 		t.Fatal("heartbeat without an address was accepted")
--- a/daemon/mux.go
+++ b/daemon/mux.go
@@ -7,8 +7,8 @@
 	"github.com/redwingthread/redwingthread/inner"
 )
 
-// Mux is an inner.Handler that dispatches each kind of request to its handler function. All functions must be set before
-// the mux is served. A request of a kind without a function is rejected with a BadInput error.
+// Mux is an inner.Handler that dispatches each kind of request to its handler function. Each daemon sets the functions of
+// the kinds that it handles before it serves the mux. A request of a kind without a function is rejected with a BadInput error.
 type Mux struct {
 	Heartbeat    func(ctx context.Context, from inner.Member, heartbeat *inner.Heartbeat) (*inner.Heartbeat, error)
 	Forward      func(ctx context.Context, req *inner.Forward) (*inner.ForwardResponse, error)
--- a/daemon/scheduler.go
+++ b/daemon/scheduler.go
@@ -23,11 +23,11 @@
 	drainPollInterval = time.Second
 )
 
-// RunScheduler runs the scheduler daemon until ctx ends, then releases its leases, so that the standby on the other VM
-// need not wait for them to expire. Running tasks continue under their task leases. It returns an error if the daemon
+// RunScheduler runs the scheduler daemon until ctx ends, then relinquishes its leases, so that the standby on the other
+// VM need not wait for them to expire. Running tasks continue under their task leases. It returns an error if the daemon
 // cannot start or the control loop fails.
-func RunScheduler(ctx context.Context, s settings.Scheduler, log zerolog.Logger, self inner.Member) error {
-	d := &schedulerDaemon{settings: s, log: log, workers: infra.NewHTTPWorkers(nil)}
+func RunScheduler(ctx context.Context, s settings.Scheduler, logger zerolog.Logger, self inner.Member) error {
+	d := &schedulerDaemon{settings: s, logger: logger, workers: infra.NewHTTPWorkers(nil)}
 	if err := d.open(self); err != nil {
 		return err
 	}
@@ -36,19 +36,19 @@
 	d.base.start(runCtx, milliseconds(s.TLS.ReloadMS))
 	go d.forwardConfigChanges(runCtx)
 	go d.announceActiveEpoch(runCtx)
-	log.Info().Str("inner", s.Listen.Inner).Msg("scheduler started")
+	logger.Info().Str("inner", s.Listen.Inner).Msg("scheduler started")
 	err := d.runControlLoops(ctx)
 	closeCtx, cancelClose := context.WithTimeout(context.Background(), schedulerStopTimeout)
 	defer cancelClose()
 	d.base.close(closeCtx)
-	log.Info().Msg("scheduler stopped")
+	logger.Info().Msg("scheduler stopped")
 	return err
 }
 
 // schedulerDaemon holds the components of a running scheduler daemon.
 type schedulerDaemon struct {
 	settings settings.Scheduler
-	log      zerolog.Logger
+	logger   zerolog.Logger
 	base     *base
 	workers  *infra.HTTPWorkers
 	// control is nil while the scheduler is suspended.
@@ -60,7 +60,7 @@
 func (d *schedulerDaemon) open(self inner.Member) error {
 	d.configChanged = make(chan struct{}, 1)
 	var err error
-	d.base, err = newBase(d.settings.Common, self, d.settings.Listen.Metrics, d.log, hooks{
+	d.base, err = newBase(d.settings.Common, self, d.settings.Listen.Metrics, d.logger, hooks{
 		fillHeartbeat: d.fillHeartbeat,
 		ready:         d.ready,
 	})
@@ -115,7 +115,7 @@
 		Config:        d.base.follower.Document,
 		ConfigChanged: d.configChanged,
 		NewPlanner:    func(failureDomain string) scheduler.Planner { return scheduler.New(failureDomain) },
-		Logger:        d.log,
+		Logger:        d.logger,
 	})
 }
 
