--- a/inner/client.go
+++ b/inner/client.go
@@ -10,8 +10,8 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// defaultCallTimeout bounds a Call whose context has no deadline.
-const defaultCallTimeout = 5 * time.Second
+// defaultRequestTimeout bounds a request whose context has no deadline.
+const defaultRequestTimeout = 5 * time.Second
 
 // Client sends requests to peers over one connection per address. It is safe for concurrent use.
 type Client struct {
@@ -26,7 +26,7 @@
 // peerConn is the connection to one address. Its lock is held during a dial, so that concurrent requests share it.
 type peerConn struct {
 	mu sync.Mutex
-	// conn is guarded by mu; it is nil before the first dial and after a failure.
+	// conn is guarded by mu; it is nil before the first dial, after a failure and after Close.
 	conn *quic.Conn
 }
 
@@ -41,14 +41,14 @@
 func (c *Client) Call(ctx context.Context, address string, req *Request) (*Response, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, defaultCallTimeout)
+		ctx, cancel = context.WithTimeout(ctx, defaultRequestTimeout)
 		defer cancel()
 	}
 	stream, conn, err := c.openStream(ctx, address)
 	if err != nil {
 		return nil, errkind.Wrap(err, errkind.Unavailable, "check the peer's address and health", "reach peer %s", address)
 	}
-	// The caller may send one request to several peers at once, so the trace context is set in a copy.
+	// req may be sent to several peers at the same time, so the trace context is set in a copy.
 	message := *req
 	message.TraceContext = injectTrace(ctx)
 	resp, err := c.exchange(ctx, stream, &message)
@@ -89,8 +89,8 @@
 	return peer
 }
 
-// openStream opens a stream to address and dials if there is no open connection. A connection that cannot open a stream
-// is replaced once: no request was sent on the stream, so none is repeated.
+// openStream opens a stream to address and dials if there is no open connection. A connection on which no stream can be
+// opened is replaced once: no request has been sent on it, so none is repeated.
 func (c *Client) openStream(ctx context.Context, address string) (*quic.Stream, *quic.Conn, error) {
 	peer := c.peer(address)
 	for attempt := 0; ; attempt++ {
@@ -165,7 +165,8 @@
 	return &resp, nil
 }
 
-// retire makes the next request dial after a failed exchange: the connection may be dead for good while new ones work.
+// retire makes the next request dial after a failed exchange: the connection may be permanently broken although new ones
+// work.
 // Other exchanges in progress on it have maxIdleTimeout to complete before it is closed.
 func (p *peerConn) retire(conn *quic.Conn) {
 	p.mu.Lock()
--- a/inner/codec.go
+++ b/inner/codec.go
@@ -9,8 +9,8 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// MaxFrameBytes bounds one encoded message. It fits a forwarded body of 8 MB with its headers, and a configuration
-// state of the planned size.
+// MaxFrameBytes bounds one encoded message. It is large enough for a forwarded body of 8 MB with its headers, and for a
+// configuration state of the planned size.
 const MaxFrameBytes = 16 << 20
 
 // frameHeaderBytes is the size of the big-endian message length at the start of every frame.
@@ -31,7 +31,7 @@
 func writeFrame(w io.Writer, message any) (int, error) {
 	data, err := cbor.Marshal(message)
 	if err != nil {
-		return 0, errkind.Wrap(err, errkind.Internal, "report this as a fault of the program", "encode message")
+		return 0, errkind.Wrap(err, errkind.Internal, "report this as a bug", "encode message")
 	}
 	if len(data) > MaxFrameBytes {
 		return 0, errkind.New(errkind.TooLarge, "send a smaller body", "message of %d bytes exceeds the limit of %d bytes",
--- a/inner/inner_test.go
+++ b/inner/inner_test.go
@@ -66,7 +66,8 @@
 	return &Response{FetchState: &FetchStateResponse{State: []byte(from.VM + req.JobQuery.ID)}}, nil
 }
 
-// TestCallReturnsResponseAndTypedError guards against lost fields and against errors that lose their kind in transit.
+// TestCallReturnsResponseAndTypedError guards against fields that are lost in transit, a sender that is not named by its
+// certificate, and errors that lose their kind.
 func TestCallReturnsResponseAndTypedError(t *testing.T) {
 	ca := newTestCA(t)
 	server := startServer(t, mustKeys(t, ca.files("server")), handlerFunc(echoQuery))
@@ -74,7 +75,7 @@
 	defer client.Close()
 	resp, err := client.Call(t.Context(), server.Address(), &Request{JobQuery: &JobQuery{ID: "-j1"}})
 	if err != nil || string(resp.FetchState.State) != "vm-1-j1" {
-		t.Fatalf("got %v, error %v", resp, err)
+		t.Fatalf("got response %v, error %v, want state vm-1-j1", resp, err)
 	}
 	_, err = client.Call(t.Context(), server.Address(), &Request{JobQuery: &JobQuery{ID: "missing"}})
 	if !errkind.Is(err, errkind.NotFound) {
@@ -99,7 +100,7 @@
 			client := NewClient(mustKeys(t, c.client))
 			defer client.Close()
 			if _, err := client.Call(t.Context(), server.Address(), &Request{JobQuery: &JobQuery{ID: "x"}}); err == nil {
-				t.Fatal("call succeeded")
+				t.Fatal("request to or from a peer of another CA succeeded")
 			}
 		})
 	}
@@ -146,17 +147,17 @@
 	}
 	defer restarted.Close(context.Background())
 	go restarted.Serve(t.Context())
-	callOnce := func() error {
+	requestOnce := func() error {
 		ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		defer cancel()
 		_, err := client.Call(ctx, address, query)
 		return err
 	}
-	if err := callOnce(); err != nil && !errkind.Is(err, errkind.Unknown) && !errkind.Is(err, errkind.Unavailable) {
-		t.Fatalf("got error kind %q", errkind.KindOf(err))
+	if err := requestOnce(); err != nil && !errkind.Is(err, errkind.Unknown) && !errkind.Is(err, errkind.Unavailable) {
+		t.Fatalf("got error kind %q, want unknown or unavailable", errkind.KindOf(err))
 	}
-	if err := callOnce(); err != nil {
-		t.Fatalf("second call after the restart: %v", err)
+	if err := requestOnce(); err != nil {
+		t.Fatalf("second request after the restart: %v", err)
 	}
 }
 
--- a/inner/messages.go
+++ b/inner/messages.go
@@ -67,7 +67,7 @@
 // relayed heartbeats itself.
 type RelayedHeartbeat struct {
 	Heartbeat Heartbeat `cbor:"beat"`
-	// AgeMS is the time since the gateway received it, in milliseconds.
+	// AgeMS is the time since the gateway received the heartbeat, in milliseconds.
 	AgeMS int64 `cbor:"age_ms"`
 }
 
