--- a/membership/table.go
+++ b/membership/table.go
@@ -6,7 +6,7 @@
 // failure domains. One exchange informs both ends, so the member of a pair with the lower address starts it; the other
 // member starts one only if it has received no heartbeat for longer.
 //
-// The package does no I/O and reads no clock: the caller passes the time and sends the heartbeats that Due returns.
+// The package does no I/O and reads no clock: the daemon passes the time and sends the heartbeats that Due returns.
 package membership
 
 import (
@@ -61,9 +61,11 @@
 type entry struct {
 	peer Peer
 	// seed marks an address of the settings, whose entry is never removed.
-	seed    bool
+	seed bool
+	// nextDue is the time at which the daemon sends the next heartbeat to the member.
 	nextDue time.Time
-	added   time.Time
+	// added is the time at which the entry was added to the table.
+	added time.Time
 }
 
 // Table is the membership of one daemon. It is not safe for concurrent use.
@@ -72,7 +74,7 @@
 	options Options
 	// members is keyed by inner protocol address: a replaced VM at the same address replaces its entry.
 	members map[string]*entry
-	// leavingVMs holds the VMs that the platform's list has shown as leaving. The list lags and may revert to an older
+	// leavingVMs holds the ids of the VMs that the platform's list has shown as leaving. The list lags and may revert to an older
 	// state, so a VM stays here until a heartbeat with a new incarnation arrives from it.
 	leavingVMs map[string]bool
 }
@@ -108,7 +110,8 @@
 	SchedulerChanged bool
 }
 
-// ObserveHeartbeat applies a heartbeat that was received as a request or as a response.
+// ObserveHeartbeat applies a heartbeat that was received as a request or as a response. A heartbeat without an address or
+// with the daemon's own is ignored.
 func (t *Table) ObserveHeartbeat(heartbeat inner.Heartbeat, now time.Time) Change {
 	if heartbeat.Member.Address == "" || heartbeat.Member.Address == t.self.Address {
 		return Change{}
@@ -132,7 +135,8 @@
 }
 
 // ObserveRelayed applies the heartbeat of another failure domain's scheduler, which a gateway of that domain received
-// age ago. A heartbeat older than the last known one is ignored.
+// age ago. A heartbeat is ignored if it is older than the last known one, has no address or a negative age, or is of a
+// member with which the daemon exchanges heartbeats itself.
 func (t *Table) ObserveRelayed(heartbeat inner.Heartbeat, age time.Duration, now time.Time) {
 	seen := now.Add(-age)
 	if heartbeat.Member.Address == "" || age < 0 || t.exchangesWith(heartbeat.Member) {
@@ -178,7 +182,7 @@
 	return interval + interval/2
 }
 
-// ObserveVMs applies the platform's list of VMs. Entry VMs that it shows as leaving stay marked, see leavingVMs.
+// ObserveVMs applies the platform's list of VMs. Entry VMs that it shows as leaving stay marked as such (see leavingVMs).
 func (t *Table) ObserveVMs(vms []infra.VM) {
 	for _, vm := range vms {
 		if vm.Role == infra.RoleEntry && vm.State == infra.VMLeaving {
@@ -190,8 +194,8 @@
 // SelfLeaving reports whether the platform's list has shown the daemon's own VM as leaving.
 func (t *Table) SelfLeaving() bool { return t.leavingVMs[t.self.VM] }
 
-// Due returns the members to which a heartbeat is due, sorted by address, and schedules their next one. It also removes
-// expired members.
+// Due returns the members to which a heartbeat is due, sorted by address, and schedules the next one to each. It also
+// removes members that have expired (see Options.RemoveAfter).
 func (t *Table) Due(now time.Time) []inner.Member {
 	var due []inner.Member
 	for address, e := range t.members {
--- a/membership/table_test.go
+++ b/membership/table_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestLeavingIsStickyUntilNewIncarnation guards against a member that loses its leaving mark because the
-// platform's list reverts from leaving to live.
+// TestLeavingIsStickyUntilNewIncarnation guards against a member that loses its leaving mark because the platform's list
+// reverts from leaving to live, and against a restarted member that keeps the mark or is not reported as joined.
 func TestLeavingIsStickyUntilNewIncarnation(t *testing.T) {
 	table := newTable()
 	heartbeat := inner.Heartbeat{Member: gatewayMember("vm-2", "fd-a", "i1")}
@@ -43,7 +43,7 @@
 	table.ObserveVMs([]infra.VM{vm})
 	table.ObserveHeartbeat(heartbeat, startTime)
 	if !table.Live(RoleGateway, startTime)[0].Leaving {
-		t.Fatal("the list reset the leaving mark")
+		t.Fatal("member is no longer leaving after the list reverted to live")
 	}
 	heartbeat.Member.Incarnation = "i2"
 	if !table.ObserveHeartbeat(heartbeat, startTime).Joined {
@@ -116,7 +116,7 @@
 }
 
 // TestRelayedSchedulerExpiresWithoutRelays guards against a gateway that knows no scheduler of another failure domain,
-// and against a scheduler that stays live after relays about it have stopped.
+// that sends heartbeats to it, or that counts it as live after its heartbeats are no longer relayed.
 func TestRelayedSchedulerExpiresWithoutRelays(t *testing.T) {
 	remote := New(gatewayMember("g-b1", "fd-b", "i1"), DefaultOptions())
 	remote.ObserveHeartbeat(inner.Heartbeat{Member: schedulerMember("s-b1", "fd-b"), Active: true, Epoch: 3}, startTime)
@@ -126,7 +126,7 @@
 	}
 	live := local.Live(RoleScheduler, startTime.Add(10*time.Second))
 	if len(live) != 1 || !live[0].Heartbeat.Active || live[0].Heartbeat.Epoch != 3 {
-		t.Fatalf("live schedulers are %+v", live)
+		t.Fatalf("live schedulers are %+v, want one that is active with epoch 3", live)
 	}
 	if len(local.Due(startTime.Add(time.Second))) != 0 {
 		t.Fatal("a heartbeat is due to a relayed scheduler")
@@ -136,7 +136,8 @@
 	}
 }
 
-// TestOnlySeedsAreNeverRemoved guards against a table that grows with every replaced VM.
+// TestOnlySeedsAreNeverRemoved guards against a table that grows with every replaced VM, and against seeds that are
+// removed.
 func TestOnlySeedsAreNeverRemoved(t *testing.T) {
 	table := newTable()
 	table.AddSeed(gatewayMember("vm-2", "fd-a", ""), startTime)
