--- a/settings/load.go
+++ b/settings/load.go
@@ -9,7 +9,7 @@
 	"github.com/redwingthread/redwingthread/errkind"
 )
 
-// Fault is one problem in a settings file.
+// Fault is one fault in a settings file.
 type Fault struct {
 	// Line is the line of the faulty key, or of the table that lacks a key; 0 if no line can be named.
 	Line int `json:"line"`
@@ -37,7 +37,7 @@
 	Faults []Fault
 }
 
-// Error returns one line for each fault.
+// Error returns the faults, each on a line of its own after a line break.
 func (l *FaultList) Error() string {
 	lines := make([]string, len(l.Faults))
 	for i, f := range l.Faults {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -120,7 +120,9 @@
 
 // Limits bounds the resources of a gateway that callers and operators can use.
 type Limits struct {
-	MaxBodyBytes        int64 `toml:"max_body_bytes"`
+	// MaxBodyBytes bounds the body of a request to the operator API.
+	MaxBodyBytes int64 `toml:"max_body_bytes"`
+	// MaxHeaderBytes, ReadHeaderTimeoutMS and IdleTimeoutMS apply to the callers' and the operators' listeners.
 	MaxHeaderBytes      int64 `toml:"max_header_bytes"`
 	ReadHeaderTimeoutMS int64 `toml:"read_header_timeout_ms"`
 	IdleTimeoutMS       int64 `toml:"idle_timeout_ms"`
@@ -134,8 +136,8 @@
 
 // Shutdown holds the time limits of a graceful shutdown.
 type Shutdown struct {
-	// DrainMS is the time in milliseconds between reporting unready and refusing new requests. It must cover the balancer's
-	// reaction time.
+	// DrainMS is the time in milliseconds between reporting not ready and rejecting new requests. It must be at least the
+	// load balancer's reaction time.
 	DrainMS int64 `toml:"drain_ms"`
 	// FinishMS bounds the wait for accepted requests after that, in milliseconds.
 	FinishMS int64 `toml:"finish_ms"`
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("gateway example differs from the defaults that it documents: %+v", g)
 	}
 	if g.TLS.Key != "../examples/keys/vm-a1.key" || g.TLS.ReloadMS != d.TLS.ReloadMS {
-		t.Errorf("got tls %+v", g.TLS)
+		t.Errorf("got tls %+v, want a key path relative to the file and the default reload interval", g.TLS)
 	}
 	s, err := LoadScheduler("../examples/scheduler.toml")
 	if err != nil {
@@ -41,7 +41,7 @@
 	c := Common{VM: "vm-1", Peers: []Peer{{VM: "vm-1", Role: RoleGateway}, {VM: "vm-1", Role: RoleScheduler}}}
 	others := c.OtherPeers(RoleGateway)
 	if len(others) != 1 || others[0].Role != RoleScheduler {
-		t.Fatalf("got %+v", others)
+		t.Fatalf("got %+v, want only the scheduler of the VM", others)
 	}
 }
 
@@ -95,7 +95,7 @@
 			_, err := LoadScheduler(path)
 			var list *FaultList
 			if !errkind.Is(err, errkind.BadInput) || !errors.As(err, &list) {
-				t.Fatalf("got error %v", err)
+				t.Fatalf("got error %v, want a BadInput error with a FaultList", err)
 			}
 			text, _ := os.ReadFile(path)
 			lines := strings.Split(string(text), "\n")
@@ -144,7 +144,7 @@
 			_, err := LoadGateway(writeEdited(t, "gateway.toml", c.old, c.new))
 			var list *FaultList
 			if !errors.As(err, &list) || len(list.Faults) != 1 || list.Faults[0].Key != c.key {
-				t.Fatalf("got error %v", err)
+				t.Fatalf("got error %v, want one fault of the edited key", err)
 			}
 			if strings.Contains(err.Error(), "secret") {
 				t.Error("the error shows the token")
@@ -153,14 +153,15 @@
 	}
 }
 
-// TestSyntaxErrorNamesLine guards against a syntax error that is reported without its line.
+// TestSyntaxErrorNamesLine guards against a syntax error that is reported without its line, and against a missing file
+// that is reported with a wrong kind.
 func TestSyntaxErrorNamesLine(t *testing.T) {
 	_, err := LoadScheduler(writeEdited(t, "scheduler.toml", `vm = "vm-a1"`, `vm = "vm-a1`))
 	var list *FaultList
 	if !errors.As(err, &list) || list.Faults[0].Line != 10 {
-		t.Fatalf("got error %v", err)
+		t.Fatalf("got error %v, want a fault on line 10", err)
 	}
 	if _, err := LoadScheduler("no-such-file.toml"); !errkind.Is(err, errkind.BadInput) {
-		t.Fatalf("got error %v", err)
+		t.Fatalf("missing file: got error %v, want a BadInput error", err)
 	}
 }
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// inRange checks that value is inRange low and high, both included.
+// inRange checks that value is between low and high, both included.
 func (c *checker) inRange(key string, value, low, high int64) {
 	if value < low || value > high {
 		c.add(key, fmt.Sprintf("use %d to %d", low, high), "has the value %d", value)
@@ -62,7 +62,7 @@
 	}
 }
 
-// peerAddress checks an address that peers connect to. It must therefore name one interface and one port.
+// peerAddress checks an address that peers connect to, which must therefore name one interface and one port.
 func (c *checker) peerAddress(key, value string) {
 	if value == "" {
 		c.required(key, value)
@@ -159,7 +159,7 @@
 	}
 }
 
-// faults validates the decoded settings of a gateway.
+// faults validates the decoded settings of a gateway and returns their faults, nil if there are none.
 func (s *Gateway) faults() []Fault {
 	c := &checker{}
 	s.Common.check(c)
@@ -186,7 +186,7 @@
 	return c.faults
 }
 
-// faults validates the decoded settings of a scheduler.
+// faults validates the decoded settings of a scheduler and returns their faults, nil if there are none.
 func (s *Scheduler) faults() []Fault {
 	c := &checker{}
 	s.Common.check(c)
