--- a/infra/client.go
+++ b/infra/client.go
@@ -77,10 +77,11 @@
 	return resp, nil
 }
 
-// errNotModified reports that the content which a conditional request asks for has not changed.
+// errNotModified reports that the content that a conditional request asks for has not changed.
 var errNotModified = errors.New("content has not changed")
 
-// do sends request and decodes a 2xx response into success.
+// do sends request and decodes a 2xx response into success. An error status gives an error of the kind that fits it. If
+// there is no response or it cannot be decoded, the error is Unavailable and the request may have been executed.
 func (s *service) do(ctx context.Context, request *sling.Sling, success any) error {
 	_, err := s.doWithHeader(ctx, request, success)
 	return err
@@ -214,8 +215,8 @@
 	return &VMListClient{service: s}, nil
 }
 
-// VMs implements VMList. It omits entries in an unknown state. The caller must not modify the list, which later calls
-// may return again.
+// VMs implements VMList. It omits entries in an unknown state. The list must not be modified, since later calls may return
+// it again.
 func (c *VMListClient) VMs(ctx context.Context) ([]VM, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/infra/client_test.go
+++ b/infra/client_test.go
@@ -31,17 +31,17 @@
 		case "GET /v1/streams/config/records?from=3&limit=2&wait_ms=50":
 			fmt.Fprint(w, `{"oldest":1,"next":9,"records":[{"offset":3,"data":"b25l"},{"offset":4,"data":"dHdv"}]}`)
 		default:
-			t.Errorf("request %s %s", r.Method, r.URL)
+			t.Errorf("unexpected request %s %s", r.Method, r.URL)
 		}
 	})
 	c := mustValue(NewLogClient(url + "/"))
 	offset, err := c.Append(t.Context(), "config", [][]byte{[]byte("one"), []byte("two")})
 	if err != nil || offset != 7 {
-		t.Errorf("append: %d %v", offset, err)
+		t.Errorf("append: got offset %d, error %v, want offset 7", offset, err)
 	}
 	resp, err := c.Read(t.Context(), "config", 3, 2, 50)
 	if err != nil || resp.Next != 9 || resp.Oldest != 1 || len(resp.Records) != 2 || string(resp.Records[1].Data) != "two" {
-		t.Errorf("read: %+v %v", resp, err)
+		t.Errorf("read: got %+v, error %v, want oldest 1, next 9 and two records", resp, err)
 	}
 }
 
@@ -71,7 +71,7 @@
 			})
 			client := mustValue(NewLogClient(url))
 			if _, err := client.Read(t.Context(), "config", 0, 10, 0); errkind.KindOf(err) != c.kind || errkind.As(err).Remedy == "" {
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v, want the kind of the case and a remedy", err)
 			}
 		})
 	}
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := client.Append(ctx, "config", [][]byte{nil}); !errkind.Is(err, errkind.Unavailable) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want an Unavailable error", err)
 	}
 }
 
@@ -95,18 +95,18 @@
 func TestVMListOmitsUnknownStates(t *testing.T) {
 	url := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v1/vms" {
-			t.Errorf("path %s", r.URL.Path)
+			t.Errorf("got path %s, want /v1/vms", r.URL.Path)
 		}
 		fmt.Fprint(w, `{"vms":[{"id":"a","role":"entry","state":"live"},{"id":"b","state":"leaving"},{"id":"c","state":"odd"}]}`)
 	})
 	c := mustValue(NewVMListClient(url))
 	vms, err := c.VMs(t.Context())
 	if err != nil || len(vms) != 2 || vms[0].Role != RoleEntry || vms[1].State != VMLeaving {
-		t.Errorf("%+v %v", vms, err)
+		t.Errorf("got VMs %+v, error %v, want a live entry VM and a leaving VM", vms, err)
 	}
 	for _, bad := range []string{"", "10.0.0.1:7000", "ftp://10.0.0.1", "http://"} {
 		if _, err := NewVMListClient(bad); !errkind.Is(err, errkind.BadInput) {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("URL %q: got error %v, want a BadInput error", bad, err)
 		}
 	}
 }
--- a/infra/vm.go
+++ b/infra/vm.go
@@ -13,9 +13,12 @@
 
 // Roles of VMs in the platform's list.
 const (
-	RoleEntry    = "entry"
+	// RoleEntry marks an entry VM, which runs a gateway and a scheduler.
+	RoleEntry = "entry"
+	// RoleEndpoint marks a VM that runs an endpoint of a service.
 	RoleEndpoint = "endpoint"
-	RoleWorker   = "worker"
+	// RoleWorker marks a VM that runs tasks.
+	RoleWorker = "worker"
 )
 
 // VM is one entry of the platform's list. The list lags and may revert to an older state.
--- a/infra/vmlist_test.go
+++ b/infra/vmlist_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestUnchangedVMListIsNotTransferredAgain guards against reads that transfer the full list although it has not
-// changed, and against a changed list that is not expectVM.
+// TestUnchangedVMListIsNotTransferredAgain guards against reads that transfer the full list although it has not changed,
+// and against reads that do not return a changed list.
 func TestUnchangedVMListIsNotTransferredAgain(t *testing.T) {
 	tag, fullResponses := `"a"`, 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/infra/workerclient.go
+++ b/infra/workerclient.go
@@ -26,8 +26,8 @@
 	workerBufferBytes = 2 << 10
 )
 
-// HTTPWorkers implements WorkerClient over HTTP/JSON. It is safe for concurrent use. The caller bounds each request
-// with its context; the connection of a request that ends without a response is closed and not reused.
+// HTTPWorkers implements WorkerClient over HTTP/JSON. It is safe for concurrent use. Only its context bounds the time of
+// a request; the connection of a request that ends without a response is closed and not reused.
 type HTTPWorkers struct {
 	client *http.Client
 }
@@ -89,7 +89,7 @@
 
 // do sends request and decodes the JSON body of a successful response into target.
 func (h *HTTPWorkers) do(ctx context.Context, request *http.Request, target any) error {
-	// An empty value omits the User-Agent header, which would add up at 60 requests per second.
+	// An empty value omits the User-Agent header, to save bytes in every request at about 60 requests per second.
 	request.Header.Set("User-Agent", "")
 	response, err := h.client.Do(request.WithContext(ctx))
 	if err != nil {
--- a/infra/workerclient_test.go
+++ b/infra/workerclient_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestWorkerClientDropsUnresponsiveConnection guards against the reuse of a connection on which a request was not
-// responded to.
+// TestWorkerClientDropsUnresponsiveConnection guards against the reuse of a connection on which a request got no
+// response, and against bytes on connections that are not counted.
 func TestWorkerClientDropsUnresponsiveConnection(t *testing.T) {
 	var requests atomic.Int32
 	unresponsive := make(chan struct{})
@@ -68,7 +68,7 @@
 		_, err := client.Commands(ctx, strings.TrimPrefix(server.URL, "http://"), CommandsRequest{})
 		cancel()
 		if (err != nil) != fails {
-			t.Fatalf("request %d: %v", i, err)
+			t.Fatalf("request %d: got error %v, want one only for request 1, which gets no response", i, err)
 		}
 	}
 	if metrics.GetOrRegisterCounter("control.worker.bytes_sent", registry).Count() == 0 {
