--- a/httpconn/conn.go
+++ b/httpconn/conn.go
@@ -1,4 +1,4 @@
-// Package httpconn sends HTTP/1.1 requests over connections whose reuse is visible to the caller.
+// Package httpconn sends HTTP/1.1 requests over connections whose reuse is visible to the code that sends them.
 //
 // The Transport of net/http may resend a request on a new connection and does not show which connection was used.
 // Commands to workers and appends to the store must be sent once per attempt, and the first request on a new connection
@@ -28,7 +28,7 @@
 	keepAliveInterval = 2 * time.Second
 	// unackedTimeout is the time after which a connection with unacknowledged sent data is closed.
 	unackedTimeout = 2500 * time.Millisecond
-	// maxResponseBytes bounds a response body; the rest is cut off.
+	// maxResponseBytes bounds a response body, which is truncated above it without an error.
 	maxResponseBytes = 8 << 20
 	// readBufferBytes is the size of a connection's read buffer; most responses fit in it.
 	readBufferBytes = 4 << 10
@@ -84,8 +84,8 @@
 	c.responses = 0
 }
 
-// Do sends the request and reads the complete response within timeout. Any error closes the connection. An error that
-// matches ErrNotSent means that the peer has received no part of the request.
+// Do sends the request and reads the complete response within timeout or until ctx ends. Any error closes the connection.
+// An error that matches ErrNotSent means that the peer has received no part of the request.
 func (c *Conn) Do(ctx context.Context, r Request, timeout time.Duration) (*Response, error) {
 	deadline := time.Now().Add(timeout)
 	if err := c.connect(ctx, deadline); err != nil {
@@ -234,7 +234,7 @@
 	p.closeIdleConnsLocked()
 }
 
-// closeIdleConnsLocked is closeIdleConns for callers that hold mu.
+// closeIdleConnsLocked closes the idle connections. mu must be held.
 func (p *Pool) closeIdleConnsLocked() {
 	for _, conn := range p.idleConns {
 		conn.Close()
--- a/httpconn/conn_test.go
+++ b/httpconn/conn_test.go
@@ -43,10 +43,11 @@
 		t.Fatalf("first request: %v", err)
 	}
 	if _, err := conn.Do(t.Context(), post("/b"), time.Second); err == nil || errors.Is(err, ErrNotSent) {
-		t.Fatalf("request without a response returned %v", err)
+		t.Fatalf("request without a response returned %v, want an error other than ErrNotSent", err)
 	}
 	if requests.Load() != 2 || conn.Reusable() {
-		t.Fatalf("%d requests arrived, connection open: %v", requests.Load(), conn.Reusable())
+		t.Fatalf("%d requests arrived, connection reusable: %v, want 2 and a closed connection", requests.Load(),
+			conn.Reusable())
 	}
 }
 
@@ -60,11 +61,11 @@
 	address := listener.Addr().String()
 	conn := &Conn{Address: address}
 	if _, err := conn.Do(t.Context(), post("/"), 100*time.Millisecond); err == nil || errors.Is(err, ErrNotSent) {
-		t.Errorf("request to a peer that does not respond returned %v", err)
+		t.Errorf("request to a peer that does not respond returned %v, want an error other than ErrNotSent", err)
 	}
 	listener.Close()
 	if _, err := conn.Do(t.Context(), post("/"), 100*time.Millisecond); !errors.Is(err, ErrNotSent) {
-		t.Errorf("request to an address without listener returned %v", err)
+		t.Errorf("request to an address without a listener returned %v, want ErrNotSent", err)
 	}
 }
 
@@ -84,7 +85,7 @@
 		t.Error("request whose context has ended succeeded")
 	}
 	if took := time.Since(startedAt); took > 2*time.Second {
-		t.Errorf("both requests took %v", took)
+		t.Errorf("both requests took %v, want at most 2 s", took)
 	}
 }
 
