--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -38,9 +38,10 @@
 		Logger(), nil
 }
 
-// LogViolations logs every violated invariant as an error. The returned function restores the previous recorder.
-func LogViolations(log zerolog.Logger) (restore func()) {
+// LogViolations logs every violated invariant as an error, for the whole process. The returned function restores the
+// previous recorder.
+func LogViolations(logger zerolog.Logger) (restore func()) {
 	return invariant.SetRecorder(func(v invariant.Violation) {
-		log.Error().Str("invariant", string(v.ID)).Str("detail", v.Message).Msg("invariant violated")
+		logger.Error().Str("invariant", string(v.ID)).Str("detail", v.Message).Msg("invariant violated")
 	})
 }
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -23,18 +23,18 @@
 // TestViolationsAreLoggedAsErrors guards against a violated invariant that is missing from the log.
 func TestViolationsAreLoggedAsErrors(t *testing.T) {
 	var out bytes.Buffer
-	log, err := NewLogger(&out, "info", self)
+	logger, err := NewLogger(&out, "info", self)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer LogViolations(log)()
+	defer LogViolations(logger)()
 	invariant.Check(false, invariant.AtMostOnce, "key %d ran twice", 7)
 	var line map[string]any
 	if err := json.Unmarshal(out.Bytes(), &line); err != nil {
 		t.Fatalf("%q: %v", out.String(), err)
 	}
 	if line["level"] != "error" || line["invariant"] != "P5" || line["detail"] != "key 7 ran twice" || line["vm"] != "vm-1" {
-		t.Fatalf("got line %v", line)
+		t.Fatalf("got line %v, want an error line with the invariant, the detail and the VM", line)
 	}
 }
 
@@ -42,11 +42,11 @@
 // setting.
 func TestUnusableSettingsAreRejected(t *testing.T) {
 	if _, err := NewLogger(&bytes.Buffer{}, "loud", self); !errkind.Is(err, errkind.BadInput) {
-		t.Errorf("log level: got %v", err)
+		t.Errorf("log level: got error %v, want a BadInput error", err)
 	}
 	missing := filepath.Join(t.TempDir(), "missing", "spans.json")
 	if _, err := SetupTracing(TraceOptions{Exporter: ExporterFile, Path: missing}, self); !errkind.Is(err, errkind.BadInput) {
-		t.Errorf("trace file: got %v", err)
+		t.Errorf("trace file: got error %v, want a BadInput error", err)
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil || !strings.Contains(string(text), `"Name":"hop"`) || !strings.Contains(string(text), "redwing-gateway") {
-		t.Fatalf("got %q, error %v", text, err)
+		t.Fatalf("got trace file %q, error %v, want the span hop of redwing-gateway", text, err)
 	}
 }
 
@@ -79,6 +79,6 @@
 		t.Fatal(err)
 	}
 	if all["telemetry.test"]["count"] != 3 || all[gaugeMaxRSSBytes]["value"] <= 0 || all[gaugeGoroutines]["value"] < 1 {
-		t.Fatalf("got %v", all)
+		t.Fatalf("got metrics %v, want a count of 3, a resident set size and a number of goroutines", all)
 	}
 }
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -29,8 +29,8 @@
 	Exporter string
 	// Path is the file to which ExporterFile appends spans as JSON.
 	Path string
-	// SampleRatio is the share of traces that are recorded, 0 to 1. It applies only if the caller has not made the
-	// sampling decision.
+	// SampleRatio is the share of traces that are recorded, 0 to 1. It applies only to traces without a
+	// sampling decision in the received trace context.
 	SampleRatio float64
 }
 
@@ -48,7 +48,7 @@
 	}
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(writer))
 	if err != nil {
-		return nil, errkind.Wrap(err, errkind.Internal, "report this as a fault of the program", "create span exporter")
+		return nil, errkind.Wrap(err, errkind.Internal, "report this as a bug", "create span exporter")
 	}
 	provider := sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
@@ -63,7 +63,7 @@
 	return provider.Shutdown, nil
 }
 
-// traceWriter returns the writer of the span exporter.
+// traceWriter returns the writer of the span exporter. A trace file that cannot be opened is a BadInput error.
 func traceWriter(options TraceOptions) (io.Writer, error) {
 	if options.Exporter == ExporterStdout {
 		return os.Stdout, nil
