--- a/errkind/errkind.go
+++ b/errkind/errkind.go
@@ -1,6 +1,6 @@
 // Package errkind defines the typed errors of redwingthread.
 //
-// Every error that reaches a caller or an operator has a kind, a message and a remedy. The kind determines the HTTP
+// Every error that reaches a user of the caller API or an operator has a kind, a message and a remedy. The kind determines the HTTP
 // status and the exit code of the operator command; the remedy tells the recipient what to do next. Errors carry a
 // stack trace through gravitational/trace.
 package errkind
@@ -32,7 +32,7 @@
 	TooLarge Kind = "too_large"
 	// Infeasible marks a shape or guarantee that does not fit even if all workers are healthy.
 	Infeasible Kind = "infeasible"
-	// Overloaded marks a request that was rejected for overload before it was dispatched.
+	// Overloaded marks a request that was rejected because of overload.
 	Overloaded Kind = "overloaded"
 	// DeadlineExceeded marks work whose deadline passed before it started.
 	DeadlineExceeded Kind = "deadline_exceeded"
