--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -64,8 +64,8 @@
 	return func() { recorder.Store(previous) }
 }
 
-// Check counts and records a violation of id if ok is false, and returns ok. The message is formatted only on a
-// violation.
+// Check counts and records a violation of id if ok is false, and returns ok. The message is formatted only if there is a
+// violation and a recorder.
 func Check(ok bool, id ID, format string, args ...any) bool {
 	if ok {
 		return true
