--- a/endpoint/exchange.go
+++ b/endpoint/exchange.go
@@ -77,7 +77,7 @@
 type Response struct {
 	Status int
 	Header http.Header
-	// Body is the complete body, nil if Stream is set or if the response has no body.
+	// Body is the complete body, nil if Stream is set or if HTTP allows no body in the response.
 	Body []byte
 	// Stream is the body of a streamed response, nil otherwise. It must be closed. If the body is incomplete or
 	// corrupted, it returns an error instead of the last bytes.
