--- a/gateway/lifecycle.go
+++ b/gateway/lifecycle.go
@@ -15,8 +15,8 @@
 const (
 	// serving gateways accept requests and report ready.
 	serving phase = iota
-	// unready gateways report not ready, but accept the requests that the load balancer still sends.
-	unready
+	// notReady gateways report not ready, but accept the requests that the load balancer still sends.
+	notReady
 	// rejecting gateways finish accepted requests and reject new ones.
 	rejecting
 )
@@ -100,7 +100,7 @@
 // finishes the accepted requests, and closes all connections. It returns a DeadlineExceeded error if ctx ends before
 // that.
 func (g *Gateway) Shutdown(ctx context.Context) error {
-	g.lifecycle.advance(unready)
+	g.lifecycle.advance(notReady)
 	g.options.Logger.Info().Str("failure_domain", g.owner.FailureDomain).Msg("shutdown started, gateway reports not ready")
 	select {
 	case <-time.After(g.options.ReactionTime):
--- a/gateway/scenario_test.go
+++ b/gateway/scenario_test.go
@@ -119,17 +119,17 @@
 // sendOnce sends a request, records it, and checks that a completed response is that of the request.
 func (sc *scenario) sendOnce(n *testGateway, s testRequest) testResponse {
 	call := time.Now()
-	out := n.send(s)
+	response := n.send(s)
 	if s.method == http.MethodPost {
-		sc.record(event{tag: s.body, outcome: out.outcome}, call, time.Now())
+		sc.record(event{tag: s.body, outcome: response.outcome}, call, time.Now())
 	}
-	if out.outcome == "completed" && out.status == http.StatusOK && out.body != "done:"+s.body {
-		sc.addViolation("P3: request %s got response %q", s.body, out.body)
+	if response.outcome == "completed" && response.status == http.StatusOK && response.body != "done:"+s.body {
+		sc.addViolation("P3: request %s got response %q", s.body, response.body)
 	}
-	if out.outcome == "completed" && sc.runLog.count(s.body) == 0 {
+	if response.outcome == "completed" && sc.runLog.count(s.body) == 0 {
 		sc.addViolation("P3: request %s is completed and never ran", s.body)
 	}
-	return out
+	return response
 }
 
 // caller sends idempotent requests and others with and without a key until the end of the scenario.
@@ -169,10 +169,10 @@
 		if twin := sc.pick(r); twin != nil && sc.chance(r, 20) {
 			second.Go(func() { sc.sendOnce(twin, s) })
 		}
-		out := sc.sendOnce(n, s)
+		response := sc.sendOnce(n, s)
 		second.Wait()
 		// Some callers repeat a completed request to read the stored result.
-		if out.outcome == "completed" && !sc.chance(r, 20) {
+		if response.outcome == "completed" && !sc.chance(r, 20) {
 			return
 		}
 		time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
