--- a/endpoint/exchange.go
+++ b/endpoint/exchange.go
@@ -230,17 +230,17 @@
 	}
 	keep := !response.Close
 	hasBody := bodyAllowed(r.Method, response.StatusCode)
-	out := &Response{Status: response.StatusCode, Header: response.Header, Length: max(0, response.ContentLength)}
+	received := &Response{Status: response.StatusCode, Header: response.Header, Length: max(0, response.ContentLength)}
 	if hasBody && response.ContentLength > r.BufferBytes && digest != nil {
-		out.Stream = newStream(pool, c, response.Body, response.ContentLength, digest, keep)
-		return p.completeResult(result, out)
+		received.Stream = newStream(pool, c, response.Body, response.ContentLength, digest, keep)
+		return p.completeResult(result, received)
 	}
 	if hasBody {
 		body, err := readBody(response)
 		if err != nil && !p.skipChecks {
 			return p.failExchange(pool, c, start, result, err)
 		}
-		out.Body = body
+		received.Body = body
 		fault = errors.Join(fault, err, checkBody(body, response.ContentLength, digest))
 	}
 	if fault != nil && !p.skipChecks {
@@ -253,7 +253,7 @@
 	} else {
 		pool.discard(c)
 	}
-	return p.completeResult(result, out)
+	return p.completeResult(result, received)
 }
 
 // readBody reads a response body into memory.
@@ -275,12 +275,12 @@
 }
 
 // completeResult returns the result with the response and with what its header reports about the endpoint.
-func (p *Pools) completeResult(result Result, out *Response) Result {
-	result.Response = out
-	result.NotRun = out.Status == http.StatusServiceUnavailable && out.Header.Get(HeaderOutcome) == outcomeNotRun
-	result.Incarnation = out.Header.Get(HeaderIncarnation)
-	result.Leaving = out.Header.Get(HeaderState) == stateLeaving
-	if n, err := strconv.Atoi(out.Header.Get(HeaderInflight)); err == nil && n >= 0 {
+func (p *Pools) completeResult(result Result, received *Response) Result {
+	result.Response = received
+	result.NotRun = received.Status == http.StatusServiceUnavailable && received.Header.Get(HeaderOutcome) == outcomeNotRun
+	result.Incarnation = received.Header.Get(HeaderIncarnation)
+	result.Leaving = received.Header.Get(HeaderState) == stateLeaving
+	if n, err := strconv.Atoi(received.Header.Get(HeaderInflight)); err == nil && n >= 0 {
 		result.Inflight = n
 	}
 	return result
--- a/endpoint/pool_test.go
+++ b/endpoint/pool_test.go
@@ -163,7 +163,7 @@
 		pools := NewPools(NetDial)
 		r := attempt(pools, address, "1", 1)
 		if r.Failure != NoFailure || r.Response.Stream == nil {
-			t.Fatalf("%s: got %+v", name, r)
+			t.Fatalf("%s: got %+v, want a streamed response", name, r)
 		}
 		got, err := io.ReadAll(r.Response.Stream)
 		r.Response.Stream.Close()
