--- a/configlog/peer.go
+++ b/configlog/peer.go
@@ -11,11 +11,11 @@
 type innerPeer struct {
 	id        string
 	address   string
-	requester inner.Caller
+	requester inner.Requester
 }
 
 // NewPeer returns the peer with the given id. address is the host:port of its inner protocol listener.
-func NewPeer(id, address string, requester inner.Caller) Peer {
+func NewPeer(id, address string, requester inner.Requester) Peer {
 	return &innerPeer{id: id, address: address, requester: requester}
 }
 
--- a/dispatch/assert_test.go
+++ b/dispatch/assert_test.go
@@ -7,9 +7,9 @@
 	"github.com/redwingthread/redwingthread/workload"
 )
 
-// collectViolations returns a collection of the assertions that fail from now until the end of the test.
-func collectViolations(t testing.TB) *invariant.Log {
-	log := &invariant.Log{}
+// collectViolations returns a collector of the assertions that fail from now until the end of the test.
+func collectViolations(t testing.TB) *invariant.Collector {
+	log := &invariant.Collector{}
 	t.Cleanup(invariant.SetRecorder(log.Record))
 	return log
 }
--- a/gang/gang_test.go
+++ b/gang/gang_test.go
@@ -341,7 +341,7 @@
 // TestAssertionNoticesPartialGang guards against an assertion of invariant.GangAllOrNothing that never records a violation,
 // and against one that does so within DivergenceBound.
 func TestAssertionNoticesPartialGang(t *testing.T) {
-	var log invariant.Log
+	var log invariant.Collector
 	defer invariant.SetRecorder(log.Record)()
 	c := newCluster(t, jobs.Job{})
 	c.stepUntil(PhaseRunning)
--- a/inner/messages.go
+++ b/inner/messages.go
@@ -67,7 +67,7 @@
 // relayed heartbeats itself.
 type RelayedHeartbeat struct {
 	Heartbeat Heartbeat `cbor:"beat"`
-	// AgeMS is the time since the gateway received it, in milliseconds.
+	// AgeMS is the time since the gateway received the heartbeat, in milliseconds.
 	AgeMS int64 `cbor:"age_ms"`
 }
 
@@ -154,8 +154,9 @@
 	Handle(ctx context.Context, from Member, req *Request) (*Response, error)
 }
 
-// Caller sends a request to the peer at address (host:port). After an error the peer may or may not have handled the
-// request.
-type Caller interface {
+// Requester sends requests to peers.
+type Requester interface {
+	// Call sends req to the peer at address (host:port) and returns its response. After an error the peer may or may not
+	// have handled the request.
 	Call(ctx context.Context, address string, req *Request) (*Response, error)
 }
--- a/jobs/service.go
+++ b/jobs/service.go
@@ -34,7 +34,7 @@
 	Wake bool
 }
 
-// Querier queries the schedulers of a failure domain. Package jobs/jobquery implements it over inner.Caller.
+// Querier queries the schedulers of a failure domain. Package jobs/jobquery implements it over inner.Requester.
 type Querier interface {
 	// Query returns the statuses of the matching jobs known to a scheduler. active is false if they come from a standby, which
 	// knows no placements.
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -170,9 +170,9 @@
 	h.advanceClock(30*time.Second - 1) // 1 ns before the lease expires
 	h.wantState(infra.TaskRunning)
 	h.advanceClock(1)
-	h.wantState(infra.TaskLapsed)
+	h.wantState(infra.TaskLeaseExpired)
 	h.send() // renews the lease of the lapsed task
-	h.wantState(infra.TaskLapsed)
+	h.wantState(infra.TaskLeaseExpired)
 }
 
 // TestTaskDoneBeforeLeaseExpires guards against a task that is reported as lapsed although it was done before its lease
