--- a/config/packing.go
+++ b/config/packing.go
@@ -9,8 +9,9 @@
 	"github.com/redwingthread/redwingthread/resource"
 )
 
-// packBudget limits the work of one Pack call to this number of worker inspections. The limit is a count and not a time
-// because the check is part of the deterministic fold of the configuration log: every process must reach the same result.
+// packBudget limits the work of one Pack call to this number of worker inspections, which take about 0.1 s. The limit is a
+// count and not a time because the check is part of the deterministic fold of the configuration log: every process must
+// reach the same result.
 const packBudget = 20_000_000
 
 // packRounds is the largest number of demand orders that Pack tries.
--- a/routing/choose.go
+++ b/routing/choose.go
@@ -7,8 +7,9 @@
 
 // The age at which a load report has half its weight is reportHalfLifeExchanges times the mean exchange time, or
 // defaultReportHalfLife while that time is unknown. Reports must lose weight: a gateway that sends an endpoint nothing
-// gets no new report, and would otherwise never use an endpoint again that was reported as full. A fixed age much
-// longer than an exchange would leave free slots unused.
+// gets no new report, and would otherwise never use an endpoint again that was reported as full. The age follows
+// the exchange time because a fixed age much longer than an exchange leaves free slots unused, such as an age of 100 to
+// 500 ms with exchanges of 50 ms at 90% load.
 const (
 	defaultReportHalfLife   = 50 * time.Millisecond
 	reportHalfLifeExchanges = 2
--- a/standin/worker_test.go
+++ b/standin/worker_test.go
@@ -154,7 +154,7 @@
 }
 
 // TestReservationAndTaskLeaseExpire guards against a reservation that does not expire, a task that ends although its lease
-// is renewed, a task that outlives its lease, and a renewal that revives a lapsed task.
+// is renewed, a task that outlives its lease, and a renewal that revives an expired task.
 func TestReservationAndTaskLeaseExpire(t *testing.T) {
 	h := newWorkerHarness(t)
 	h.wantOK(true, newCommand(infra.OpReserve))
@@ -171,11 +171,11 @@
 	h.wantState(infra.TaskRunning)
 	h.advanceClock(1)
 	h.wantState(infra.TaskLeaseExpired)
-	h.send() // renews the lease of the lapsed task
+	h.send() // renews the lease of the expired task
 	h.wantState(infra.TaskLeaseExpired)
 }
 
-// TestTaskDoneBeforeLeaseExpires guards against a task that is reported as lapsed although it was done before its lease
+// TestTaskDoneBeforeLeaseExpires guards against a task that is reported as expired although it was done before its lease
 // expired. Both times have passed when the worker next advances its state.
 func TestTaskDoneBeforeLeaseExpires(t *testing.T) {
 	h := newWorkerHarness(t)
